--- a/src/bin/brassport/backends.rs
+++ b/src/bin/brassport/backends.rs
@@ -1,7 +1,7 @@
 //! The backends: where they are, the idle connections to them, and the attempts.
 
-use crate::link::{Failure, Link};
-use crate::retry::{self, Pauses};
+use crate::http_connection::{Failure, HttpConnection};
+use crate::retry::{self, Backoff};
 use http_body_util::Full;
 use hyper::body::Bytes;
 use hyper::header::{HeaderMap, HeaderValue};
@@ -53,7 +53,7 @@
 }
 
 struct Pooled {
-    link: Link,
+    link: HttpConnection,
     since: Instant,
     _descriptor: OwnedSemaphorePermit,
 }
@@ -228,11 +228,11 @@
                 Err(_) => return Err(Outcome::NotSent),
             }
         };
-        let (until, mut pauses) = (Instant::now() + self.connect_timeout, Pauses::new());
+        let (until, mut pauses) = (Instant::now() + self.connect_timeout, Backoff::new());
         let mut outcome = Outcome::NoConnection;
         loop {
             // Guards against a machine that is cut off: its connections never come up.
-            match timeout_at(until, Link::open(address)).await {
+            match timeout_at(until, HttpConnection::open(address)).await {
                 Ok(Ok(link)) => return Ok(Pooled { link, since: Instant::now(), _descriptor: descriptor }),
                 Ok(Err(error)) if retry::is_local(&error) => {
                     outcome = Outcome::NotSent;
--- a/src/bin/brassport/callers.rs
+++ b/src/bin/brassport/client_connections.rs
@@ -40,7 +40,7 @@
 
 /// What the close of a connection ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Dismissal {
+pub enum CloseReason {
     /// Nobody asks on it.
     Unused,
     /// A request that has come in part and took too long.
@@ -88,14 +88,14 @@
 
 /// All connections of clients, in the order in which they came.
 #[derive(Debug, Default)]
-pub struct Callers {
+pub struct ClientConnections {
     all: RefCell<BTreeMap<u64, Rc<State>>>,
     last: Cell<u64>,
 }
 
-impl Callers {
+impl ClientConnections {
     /// Enters a connection that was accepted now and may have waited for that since some time.
-    pub fn enter(self: &Rc<Self>, waited_since: Option<Instant>) -> Caller {
+    pub fn enter(self: &Rc<Self>, waited_since: Option<Instant>) -> ClientConnection {
         let now = Instant::now();
         let earliest = now.checked_sub(MOST_WAIT).unwrap_or(now);
         let number = self.last.get() + 1;
@@ -109,7 +109,7 @@
             dismiss: Notify::new(),
         });
         self.all.borrow_mut().insert(number, state.clone());
-        Caller { all: self.clone(), number, state }
+        ClientConnection { all: self.clone(), number, state }
     }
 
     /// How many were told to close and have not yet.
@@ -156,13 +156,13 @@
 }
 
 /// One client's connection among all; it is taken off when this is dropped.
-pub struct Caller {
-    all: Rc<Callers>,
+pub struct ClientConnection {
+    all: Rc<ClientConnections>,
     number: u64,
     state: Rc<State>,
 }
 
-impl Caller {
+impl ClientConnection {
     /// Notes a new stage. What was told to close stays so only until it turns out to be in use.
     pub fn stage(&self, stage: Stage) {
         // A request's time begins with its first byte, not when all of its head is there.
@@ -185,7 +185,7 @@
     }
     /// Waits until the connection is to close, and tells what that ends. Whether a request came meanwhile is
     /// asked of the system: it is not closed on one, read or not.
-    pub async fn dismissed(&self, connection: &Connection) -> Dismissal {
+    pub async fn dismissed(&self, connection: &Connection) -> CloseReason {
         loop {
             self.state.dismiss.notified().await;
             if self.at() != Stage::Leaving {
@@ -193,12 +193,12 @@
             }
             if !self.state.unused() {
                 return match self.state.left.get() {
-                    Stage::New | Stage::Asking => Dismissal::HalfAsked,
-                    _ => Dismissal::Answered,
+                    Stage::New | Stage::Asking => CloseReason::HalfAsked,
+                    _ => CloseReason::Answered,
                 };
             }
             if connection.is_quiet() {
-                return Dismissal::Unused;
+                return CloseReason::Unused;
             }
             self.stage(Stage::Asking);
         }
@@ -213,7 +213,7 @@
     }
 }
 
-impl Drop for Caller {
+impl Drop for ClientConnection {
     fn drop(&mut self) {
         self.all.all.borrow_mut().remove(&self.number);
     }
--- a/src/bin/brassport/client_stream.rs
+++ b/src/bin/brassport/client_stream.rs
@@ -3,7 +3,7 @@
 //! The server is handed the bytes of one request and no more until that one is answered. So it is known of each
 //! request when it came, whether a further one stands behind it, and whether the client has left meanwhile.
 
-use crate::callers::Caller;
+use crate::client_connections::ClientConnection;
 use crate::socket::Socket;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -275,13 +275,13 @@
 /// answer.
 pub struct ClientStream {
     connection: Rc<Connection>,
-    caller: Rc<Caller>,
+    tracked: Rc<ClientConnection>,
 }
 
 impl ClientStream {
     /// The stream of that connection.
-    pub fn new(connection: Rc<Connection>, caller: Rc<Caller>) -> ClientStream {
-        ClientStream { connection, caller }
+    pub fn new(connection: Rc<Connection>, tracked: Rc<ClientConnection>) -> ClientStream {
+        ClientStream { connection, tracked }
     }
 
     /// Ends the sending, then reads what still comes until the client ends too, for a bounded time: closing a
@@ -308,7 +308,7 @@
         let before = buffer.filled().len();
         let read = self.connection.poll_input(context, buffer);
         if buffer.filled().len() > before {
-            self.caller.heard();
+            self.tracked.heard();
         }
         read
     }
--- a/src/bin/brassport/clients.rs
+++ b/src/bin/brassport/clients.rs
@@ -2,11 +2,11 @@
 
 use crate::acceptor::{Accepted, Acceptor};
 use crate::backends::{Backends, Message, BODY_LIMIT};
-use crate::callers::{Caller, Callers, Dismissal, Stage};
+use crate::client_connections::{ClientConnection, ClientConnections, CloseReason, Stage};
 use crate::client_stream::{ClientStream, Connection};
 use crate::config::Names;
-use crate::door::{Answer, Door};
-use crate::host;
+use crate::dispatcher::{Answer, Dispatcher};
+use crate::host_header;
 use crate::log;
 use crate::socket::Socket;
 use http_body_util::{BodyExt, Full};
@@ -91,8 +91,8 @@
 }
 
 /// What every connection needs.
-pub struct Desk {
-    pub door: Rc<Door>,
+pub struct ServeContext {
+    pub dispatcher: Rc<Dispatcher>,
     pub backends: Rc<Backends>,
     pub names: Names,
     pub settings: Settings,
@@ -103,15 +103,15 @@
 
 /// Accepts clients, and returns once the shutdown closes the door and every connection has ended. Guards
 /// against requests in the backlog: the listener stays open until then.
-pub async fn serve(acceptor: Acceptor, desk: Rc<Desk>, descriptors: Arc<Semaphore>) {
+pub async fn serve(acceptor: Acceptor, context: Rc<ServeContext>, descriptors: Arc<Semaphore>) {
     let reserve = RESERVE.min(descriptors.available_permits() / RESERVE_PART);
     let few = descriptors.available_permits() / FEW_PART;
-    let callers = Rc::new(Callers::default());
+    let client_connections = Rc::new(ClientConnections::default());
     // Guards against connections that nobody waits on and that hold all descriptors. Those that a client
     // most likely has no more use for go first.
     let spare = |least: usize| {
-        while descriptors.available_permits() + callers.leaving() < least {
-            if !callers.shed() && !desk.backends.shed_idle() {
+        while descriptors.available_permits() + client_connections.leaving() < least {
+            if !client_connections.shed() && !context.backends.shed_idle() {
                 return false;
             }
         }
@@ -128,29 +128,29 @@
             accepted = acceptor.accept() => {
                 empty_before = false;
                 let crowded = !spare(reserve);
-                let caller = callers.enter(accepted.waited_since);
-                connections.spawn_local(connection(accepted, desk.clone(), crowded, caller));
+                let tracked = client_connections.enter(accepted.waited_since);
+                connections.spawn_local(connection(accepted, context.clone(), crowded, tracked));
             }
             _ = sweeps.tick() => {
-                let closing = *desk.phase.borrow() >= Phase::Closing;
+                let closing = *context.phase.borrow() >= Phase::Closing;
                 let empty = closing && connections.is_empty() && !acceptor.is_stalled();
                 // What stood in the backlog at one look has been accepted by the next.
                 if empty && empty_before {
                     return;
                 }
                 empty_before = empty;
-                callers.sweep(few, closing);
+                client_connections.sweep(few, closing);
             }
         }
     }
 }
 
 /// Serves one client's connection to its end. One that came while all others were busy gets refusals.
-async fn connection(accepted: Accepted, desk: Rc<Desk>, crowded: bool, caller: Caller) {
+async fn connection(accepted: Accepted, context: Rc<ServeContext>, crowded: bool, tracked: ClientConnection) {
     let Accepted { stream, descriptor: _descriptor, waited_since } = accepted;
     let port = stream.peer_addr().map_or(0, |address| address.port());
     log::trace(port, || format!("connection accepted, crowded {crowded}, waited {}", waited_since.is_some()));
-    let end = serve_connection(stream, waited_since, desk, crowded, caller).await;
+    let end = serve_connection(stream, waited_since, context, crowded, tracked).await;
     log::trace(port, || format!("connection closed: {end}"));
 }
 
@@ -161,7 +161,7 @@
     /// Its last answer told that it would be closed.
     Announced,
     /// Its time was up, others need the descriptor, or the program ends.
-    Dismissed(Dismissal),
+    Dismissed(CloseReason),
 }
 
 impl fmt::Display for End {
@@ -177,30 +177,30 @@
 async fn serve_connection(
     stream: TcpStream,
     waited_since: Option<Instant>,
-    desk: Rc<Desk>,
+    context: Rc<ServeContext>,
     crowded: bool,
-    caller: Caller,
+    tracked: ClientConnection,
 ) -> End {
     let _ = stream.set_nodelay(true);
-    let caller = Rc::new(caller);
+    let tracked = Rc::new(tracked);
     let socket = Socket::new(stream);
     let waited_since = waited_since.filter(|_| !socket.is_quiet());
     let client = Connection::new(socket, waited_since);
-    let wire = ClientStream::new(client.clone(), caller.clone());
+    let wire = ClientStream::new(client.clone(), tracked.clone());
     let service = service_fn(|request: Request<Incoming>| {
-        caller.stage(Stage::Open);
+        tracked.stage(Stage::Open);
         let arrived = client.begin_request(request.body().size_hint().upper().unwrap_or(0));
-        let (desk, caller, client) = (desk.clone(), caller.clone(), client.clone());
+        let (context, tracked, client) = (context.clone(), tracked.clone(), client.clone());
         async move {
             let response = if crowded {
-                Err(refusal(desk.settings.max_retry_after))
+                Err(refusal(context.settings.max_retry_after))
             } else {
-                answer(&desk, request, caller.asking_until(), arrived, &client).await
+                answer(&context, request, tracked.asking_until(), arrived, &client).await
             };
-            caller.stage(if response.is_err() { Stage::Last } else { Stage::Idle });
+            tracked.stage(if response.is_err() { Stage::Last } else { Stage::Idle });
             // What was read behind this request is answered too, so its connection can't end here. Asking
             // whether the client has left reads all that has come.
-            let leaving = *desk.phase.borrow() != Phase::Serving;
+            let leaving = *context.phase.borrow() != Phase::Serving;
             let last = response.is_err() || (leaving && (client.has_left() || !client.has_read_ahead()));
             client.end_request();
             let (Ok(mut response) | Err(mut response)) = response;
@@ -215,49 +215,51 @@
     let (ended, end) = tokio::select! {
         biased;
         ended = &mut serving => (ended, End::Announced),
-        dismissal = caller.dismissed(&client) => match dismissal {
-            Dismissal::Answered => return End::Dismissed(dismissal),
+        dismissal = tracked.dismissed(&client) => match dismissal {
+            CloseReason::Answered => return End::Dismissed(dismissal),
             // It takes nothing: what would be written now would stand in the middle of an earlier answer.
-            Dismissal::HalfAsked if client.is_write_blocked() => return End::Dismissed(dismissal),
-            Dismissal::HalfAsked => {
+            CloseReason::HalfAsked if client.is_write_blocked() => return End::Dismissed(dismissal),
+            CloseReason::HalfAsked => {
                 // Its last byte may come in this moment: whoever has begun to ask gets an answer.
-                caller.stage(Stage::Last);
+                tracked.stage(Stage::Last);
                 let mut stream = serving.into_parts().io.into_inner();
                 let written = timeout(LAST_ANSWER, stream.write_all(TOO_SLOW)).await;
                 if matches!(written, Ok(Ok(()))) {
-                    last_words(stream, &caller, &client).await;
+                    last_words(stream, &tracked, &client).await;
                 }
                 return End::Dismissed(dismissal);
             }
-            Dismissal::Unused => {
+            CloseReason::Unused => {
                 // Its last answer may still be on its way out.
                 std::pin::Pin::new(&mut serving).graceful_shutdown();
-                let Ok(ended) = timeout(LAST_ANSWER, &mut serving).await else { return End::Dismissed(Dismissal::Answered) };
+                let Ok(ended) = timeout(LAST_ANSWER, &mut serving).await else {
+                    return End::Dismissed(CloseReason::Answered);
+                };
                 (ended, End::Dismissed(dismissal))
             }
         }
     };
     let end = if ended.is_err() || client.has_ended() { End::ByClient } else { end };
     // Its client has gone, or what it sent is no HTTP and was answered so; else it was closed in order.
-    if ended.is_err() || caller.at() == Stage::Last {
-        caller.stage(Stage::Last);
-        last_words(serving.into_parts().io.into_inner(), &caller, &client).await;
+    if ended.is_err() || tracked.at() == Stage::Last {
+        tracked.stage(Stage::Last);
+        last_words(serving.into_parts().io.into_inner(), &tracked, &client).await;
     }
     end
 }
 
 /// Keeps a connection behind its last answer until the client has it, unless others need the descriptor more.
-async fn last_words(stream: ClientStream, caller: &Caller, client: &Connection) {
+async fn last_words(stream: ClientStream, tracked: &ClientConnection, client: &Connection) {
     tokio::select! {
         () = stream.linger() => {}
-        _ = caller.dismissed(client) => {}
+        _ = tracked.dismissed(client) => {}
     }
 }
 
 /// The answer to a request; an error if its connection must not be used again. `asked_by` is when all of the
 /// request must have come, `arrived` when its head had.
 async fn answer(
-    desk: &Desk,
+    context: &ServeContext,
     mut request: Request<Incoming>,
     asked_by: Instant,
     arrived: Instant,
@@ -268,13 +270,13 @@
     if request.headers().contains_key(header::TRANSFER_ENCODING) {
         return Err(text(StatusCode::BAD_REQUEST, "Transfer-Encoding is not taken"));
     }
-    host::settle(&mut request).map_err(|problem| text(StatusCode::BAD_REQUEST, problem))?;
+    host_header::normalize(&mut request).map_err(|problem| text(StatusCode::BAD_REQUEST, problem))?;
     if request.method() == Method::GET && request.uri().path() == "/healthz" {
-        let up = *desk.phase.borrow() == Phase::Serving && desk.backends.any_ready();
+        let up = *context.phase.borrow() == Phase::Serving && context.backends.any_ready();
         return Ok(text(if up { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }, ""));
     }
     let (head, body) = request.into_parts();
-    let asked = check(&head, desk).map_err(|problem| text(StatusCode::BAD_REQUEST, problem))?;
+    let asked = check(&head, context).map_err(|problem| text(StatusCode::BAD_REQUEST, problem))?;
     // Guards against bodies that fill the memory: the length is known before the first byte.
     let length = body.size_hint().upper().and_then(|length| usize::try_from(length).ok());
     let length = length.filter(|length| *length <= BODY_LIMIT);
@@ -283,14 +285,14 @@
     if length > 0 && head.method == Method::GET {
         return Err(text(StatusCode::BAD_REQUEST, "a GET has no body"));
     }
-    let room = desk.bodies.try_acquire_many(length as u32);
-    let _room = room.map_err(|_| refusal(desk.settings.max_retry_after))?;
-    let mut phase = desk.phase.clone();
+    let room = context.bodies.try_acquire_many(length as u32);
+    let _room = room.map_err(|_| refusal(context.settings.max_retry_after))?;
+    let mut phase = context.phase.clone();
     let body = tokio::select! {
         biased;
         // What is taken in from here on would be given up unanswered.
         _ = phase.wait_for(|phase| *phase == Phase::Ended) => {
-            return Err(refusal(desk.settings.max_retry_after));
+            return Err(refusal(context.settings.max_retry_after));
         }
         body = timeout_at(asked_by, body.collect()) => match body {
             Ok(Ok(body)) => body.to_bytes(),
@@ -303,10 +305,11 @@
         return Err(text(StatusCode::BAD_REQUEST, "its client has gone"));
     }
     if deadline <= Instant::now() {
-        return Ok(refusal(desk.settings.max_retry_after));
+        return Ok(refusal(context.settings.max_retry_after));
     }
     let message = Message { method: head.method, uri: asked.uri, headers: pass_on(head.headers), body };
-    let Some(ticket) = desk.door.admit(asked.request, asked.id, message, deadline, client.clone()) else {
+    let Some(ticket) = context.dispatcher.admit(asked.request, asked.id, message, deadline, client.clone())
+    else {
         return Err(text(StatusCode::CONFLICT, "a request of this id is open"));
     };
     let answer = tokio::select! {
@@ -370,7 +373,7 @@
 }
 
 /// Guards against malformed input: what does not make sense goes no further.
-fn check(head: &Parts, desk: &Desk) -> Result<Asked, &'static str> {
+fn check(head: &Parts, context: &ServeContext) -> Result<Asked, &'static str> {
     // Guards against headers that contradict each other: whoever reads on might go by the other one.
     if OURS.iter().any(|name| head.headers.get_all(*name).iter().nth(1).is_some()) {
         return Err("a header stands there twice");
@@ -390,25 +393,27 @@
         let name = head.headers.get(field)?.as_bytes().trim_ascii();
         names.iter().position(|known| known.as_bytes() == name)
     };
-    let class = index(&desk.names.classes, "x-class").ok_or("X-Class names no class")?;
+    let class = index(&context.names.classes, "x-class").ok_or("X-Class names no class")?;
     let first = head.uri.path().split('/').nth(1).unwrap_or_default();
-    if !percent_decode_str(first).eq(desk.names.classes[class].bytes()) {
+    if !percent_decode_str(first).eq(context.names.classes[class].bytes()) {
         return Err("the path does not begin with the class");
     }
     // The method follows from the class: a request that may be sent again must be one that says so itself.
-    if (desk.settings.classes[class].idempotency == Idempotency::Idempotent) != (head.method == Method::GET) {
+    if (context.settings.classes[class].idempotency == Idempotency::Idempotent)
+        != (head.method == Method::GET)
+    {
         return Err("the method is not the class's");
     }
     // Guards against a second run: what has no key is not dropped when it is sent again.
-    let keyed = matches!(desk.settings.classes[class].idempotency, Idempotency::Keyed { .. });
+    let keyed = matches!(context.settings.classes[class].idempotency, Idempotency::Keyed { .. });
     if keyed && field("idempotency-key").is_none_or(str::is_empty) {
         return Err("the class wants an Idempotency-Key");
     }
-    let plan = index(&desk.names.plans, "plan").ok_or("Plan names no plan")?;
+    let plan = index(&context.names.plans, "plan").ok_or("Plan names no plan")?;
     let customer = field("cookie").and_then(customer).ok_or("the cookie names no client")?;
-    let most = Duration::from_secs_f64(desk.settings.classes[class].deadline / 1000.0);
+    let most = Duration::from_secs_f64(context.settings.classes[class].deadline / 1000.0);
     let patience = field("x-deadline").and_then(span).ok_or("X-Deadline is no length of time")?.min(most);
-    let quota = field("quota-info").and_then(|text| quota(text, &desk.settings));
+    let quota = field("quota-info").and_then(|text| quota(text, &context.settings));
     let (units, spread) = quota.ok_or("Quota-Info makes no sense")?;
     let target = head.uri.path_and_query().ok_or("the request has no path")?;
     let request = springusher::Request {
--- a/src/bin/brassport/config.rs
+++ b/src/bin/brassport/config.rs
@@ -1,7 +1,7 @@
 //! Configuration: the environment and the JSON file it names, checked and turned into the module's terms.
 
 use crate::discovery::List;
-use crate::retry::{self, Pauses};
+use crate::retry::{self, Backoff};
 use serde::Deserialize;
 use springusher::{Class, DedupScope, Idempotency, Plan, Settings};
 use std::net::SocketAddr;
@@ -192,9 +192,9 @@
     }
 
     /// Whether it may be gone a moment later without anybody's doing.
-    pub fn may_pass(&self) -> bool {
+    pub fn is_transient(&self) -> bool {
         match self {
-            Problem::Unreadable(_, error) => retry::may_pass(error),
+            Problem::Unreadable(_, error) => retry::is_transient(error),
             Problem::Incomplete(_) => true,
             Problem::Invalid(_) => false,
         }
@@ -252,14 +252,14 @@
 /// What is missing or makes no sense, or that the file can't be read.
 pub async fn read_within(patience: Duration, first: First) -> Result<Config, Problem> {
     let until = Instant::now() + patience;
-    let mut pauses = Pauses::new();
+    let mut pauses = Backoff::new();
     loop {
         let problem = match timeout_at(until, read(|| first)).await {
             Ok(Ok(config)) => return Ok(config),
             Ok(Err(problem)) => problem,
             Err(_) => return Err(Problem::timed_out()),
         };
-        if !problem.may_pass() || Instant::now() >= until {
+        if !problem.is_transient() || Instant::now() >= until {
             return Err(problem);
         }
         pauses.report("reading the configuration", &problem);
--- a/src/bin/brassport/counter.rs
+++ b/src/bin/brassport/counter.rs
@@ -53,10 +53,10 @@
 }
 
 impl Counter {
-    /// The counter, and its line for [`Line::keep`].
-    pub fn new(patience: Duration) -> (Counter, Line) {
+    /// The counter, and its line for [`CounterClient::keep`].
+    pub fn new(patience: Duration) -> (Counter, CounterClient) {
         let (calls, queue) = unbounded_channel();
-        let line = Line { queue, patience, link: None, read: Vec::new(), waiting: VecDeque::new() };
+        let line = CounterClient { queue, patience, link: None, read: Vec::new(), waiting: VecDeque::new() };
         (Counter { calls, patience }, line)
     }
 
@@ -67,7 +67,7 @@
     }
 }
 
-pub struct Line {
+pub struct CounterClient {
     queue: UnboundedReceiver<Call>,
     patience: Duration,
     link: Option<Socket>,
@@ -76,7 +76,7 @@
     waiting: VecDeque<Waiting>,
 }
 
-impl Line {
+impl CounterClient {
     /// Carries calls out for ever, at the address that `address` holds, and reports each one's end.
     pub async fn keep(mut self, mut address: watch::Receiver<Option<SocketAddr>>, report: impl Fn(Report)) {
         let ended = |key, result| report(Report::Ended { key, result });
--- a/src/bin/brassport/discovery/call.rs
+++ b/src/bin/brassport/discovery/call.rs
@@ -1,8 +1,8 @@
 //! One call to discovery.
 
-use super::contact::Loss;
 use super::list::List;
-use crate::link::Link;
+use super::status::CallFailure;
+use crate::http_connection::HttpConnection;
 use crate::retry;
 use http_body_util::Full;
 use hyper::header::HOST;
@@ -55,7 +55,7 @@
     Unmade,
     /// The service is there and takes no more: what was told so far holds.
     Busy,
-    Lost(Loss),
+    Lost(CallFailure),
 }
 
 /// For the trace.
@@ -71,9 +71,9 @@
 }
 
 /// Makes one call, on the connection of the last one where that still stands.
-pub async fn ask(link: &mut Option<Link>, address: SocketAddr, query: Query) -> Outcome {
+pub async fn ask(link: &mut Option<HttpConnection>, address: SocketAddr, query: Query) -> Outcome {
     let request = Request::get(query.path()).header(HOST, address.to_string()).body(Full::default());
-    let Ok(request) = request else { return Outcome::Lost(Loss::Invalid) };
+    let Ok(request) = request else { return Outcome::Lost(CallFailure::Invalid) };
     if let Some(open) = link {
         if !open.is_usable().await {
             *link = None;
@@ -81,20 +81,20 @@
     }
     let open = match link {
         Some(open) => open,
-        None => match timeout(CONNECT, Link::open(address)).await {
+        None => match timeout(CONNECT, HttpConnection::open(address)).await {
             Ok(Ok(open)) => link.insert(open),
             Ok(Err(error)) if retry::is_local(&error) => return Outcome::Unmade,
-            _ => return Outcome::Lost(Loss::Unreachable),
+            _ => return Outcome::Lost(CallFailure::Unreachable),
         },
     };
     match open.exchange(request, LIST_LIMIT).await {
         Ok(answer) if answer.status() == StatusCode::OK => {
             let list = serde_json::from_slice(answer.body()).ok();
             let list = list.filter(|list: &List| list.all || query != Query::Whole);
-            list.map_or(Outcome::Lost(Loss::Invalid), Outcome::List)
+            list.map_or(Outcome::Lost(CallFailure::Invalid), Outcome::List)
         }
         Ok(answer) if answer.status() == StatusCode::SERVICE_UNAVAILABLE => Outcome::Busy,
-        Ok(_) => Outcome::Lost(Loss::Invalid),
-        Err(_) => Outcome::Lost(Loss::Broken),
+        Ok(_) => Outcome::Lost(CallFailure::Invalid),
+        Err(_) => Outcome::Lost(CallFailure::Broken),
     }
 }
--- a/src/bin/brassport/discovery/mod.rs
+++ b/src/bin/brassport/discovery/mod.rs
@@ -2,9 +2,9 @@
 //! service of fixed capacity answers all gateways, and calls are spared and spread.
 
 mod call;
-mod contact;
 mod list;
 mod schedule;
+mod status;
 mod watch;
 
 pub use list::{List, State, Target};
@@ -33,11 +33,11 @@
     /// A list, or changes to the last one.
     List(ListKind, List),
     /// A call brought none; what is held stays in force.
-    NoWord,
+    CallFailed,
 }
 
 /// The list of servers as it is followed.
-pub struct Following {
+pub struct Subscription {
     /// Sets another source; the list is asked for anew.
     pub source: latest::Sender<Source>,
     /// What was heard, in order.
@@ -45,10 +45,10 @@
 }
 
 /// Follows the list for as long as somebody holds the result.
-pub fn follow(source: Source) -> Following {
+pub fn follow(source: Source) -> Subscription {
     let (sender, updates) = unbounded_channel();
     let watcher = Watcher::new(source, sender);
     let (source, seen) = latest::channel(source);
     spawn_local(watcher.follow(seen));
-    Following { source, updates }
+    Subscription { source, updates }
 }
--- a/src/bin/brassport/discovery/contact.rs
+++ b/src/bin/brassport/discovery/status.rs
@@ -8,7 +8,7 @@
 
 /// Why a call brought no list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Loss {
+pub enum CallFailure {
     /// The connection did not come up.
     Unreachable,
     /// The connection broke.
@@ -19,20 +19,20 @@
     Silent,
 }
 
-impl fmt::Display for Loss {
+impl fmt::Display for CallFailure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Loss::Unreachable => "it can't be reached",
-            Loss::Broken => "the connection broke",
-            Loss::Invalid => "the answer is no list",
-            Loss::Silent => "no answer came in time",
+            CallFailure::Unreachable => "it can't be reached",
+            CallFailure::Broken => "the connection broke",
+            CallFailure::Invalid => "the answer is no list",
+            CallFailure::Silent => "no answer came in time",
         })
     }
 }
 
 /// The one place that knows how old the list held may be.
 #[derive(Debug)]
-pub struct Contact {
+pub struct DiscoveryStatus {
     /// Before the first answer: the start.
     last_heard: Cell<Instant>,
     revision: Cell<Option<u64>>,
@@ -41,10 +41,10 @@
     changed: Notify,
 }
 
-impl Contact {
+impl DiscoveryStatus {
     /// Nothing was heard yet; `revision` is that of a list held from an earlier life.
-    pub fn new(revision: Option<u64>) -> Contact {
-        Contact {
+    pub fn new(revision: Option<u64>) -> DiscoveryStatus {
+        DiscoveryStatus {
             last_heard: Cell::new(Instant::now()),
             revision: Cell::new(revision),
             lost: Cell::new(false),
@@ -76,7 +76,7 @@
     }
 
     /// Notes a call that failed, and logs the first one since an answer.
-    pub fn lost(&self, loss: Loss) {
+    pub fn lost(&self, loss: CallFailure) {
         if !self.lost.replace(true) {
             let silence = self.last_heard.get().elapsed().as_secs_f64();
             let held = self.revision.get().map_or("none".to_string(), |revision| revision.to_string());
--- a/src/bin/brassport/discovery/watch.rs
+++ b/src/bin/brassport/discovery/watch.rs
@@ -1,11 +1,11 @@
 //! The watch on discovery.
 
 use super::call::{ask, Outcome, Query};
-use super::contact::{Contact, Loss};
 use super::list::List;
 use super::schedule::Schedule;
+use super::status::{CallFailure, DiscoveryStatus};
 use super::{Source, Update};
-use crate::link::Link;
+use crate::http_connection::HttpConnection;
 use crate::log;
 use springusher::ListKind;
 use std::cell::{Cell, RefCell};
@@ -33,7 +33,7 @@
 pub struct Watcher {
     updates: UnboundedSender<Update>,
     schedule: RefCell<Schedule>,
-    contact: Contact,
+    status: DiscoveryStatus,
     /// The revision held, where changes to it may be asked for.
     held: Cell<Option<u64>>,
 }
@@ -44,7 +44,7 @@
         Watcher {
             updates,
             schedule: RefCell::new(Schedule::new(source.service, source.seed)),
-            contact: Contact::new(source.known),
+            status: DiscoveryStatus::new(source.known),
             held: Cell::new(None),
         }
     }
@@ -63,7 +63,7 @@
             let Source { address, service, known, seed } = *source.borrow_and_update();
             self.schedule.replace(Schedule::new(service, seed));
             self.held.set(known.filter(|_| self.schedule.borrow().is_shared()));
-            self.contact.reconsider();
+            self.status.reconsider();
             tokio::select! {
                 () = self.watch(address) => {}
                 changed = source.changed() => if changed.is_err() { return },
@@ -92,8 +92,8 @@
                 }
                 Outcome::Lost(loss) => {
                     links = Links::default();
-                    self.contact.lost(loss);
-                    self.report(Update::NoWord);
+                    self.status.lost(loss);
+                    self.report(Update::CallFailed);
                     self.held.set(self.held.get().filter(|_| self.schedule.borrow().is_shared()));
                     self.pause(began).await;
                 }
@@ -119,25 +119,30 @@
     }
 
     /// Makes one call. Guards against an agent that is silent: a call is given up.
-    async fn ask(&self, link: &mut Option<Link>, address: SocketAddr, query: Query) -> Outcome {
+    async fn ask(&self, link: &mut Option<HttpConnection>, address: SocketAddr, query: Query) -> Outcome {
         let began = Instant::now();
         log::trace(SUBJECT, || format!("{address} is asked: {}", query.path()));
         let patience = self.schedule.borrow().patience(query);
         let outcome = timeout(patience, ask(link, address, query)).await;
-        let outcome = outcome.unwrap_or(Outcome::Lost(Loss::Silent));
+        let outcome = outcome.unwrap_or(Outcome::Lost(CallFailure::Silent));
         let took = began.elapsed();
         log::trace(SUBJECT, || format!("after {:.1} ms: {outcome}", took.as_secs_f64() * 1000.0));
         if let Outcome::List(list) = &outcome {
-            self.contact.heard(list.rev);
+            self.status.heard(list.rev);
             if self.schedule.borrow().most_unconfirmed().is_some() {
-                self.contact.unconfirmed_from(began + query.least_wait(list, took));
+                self.status.unconfirmed_from(began + query.least_wait(list, took));
             }
         }
         outcome
     }
 
     /// Confirms a watch that has begun, and waits for ever; returns where its agent can't be reached any more.
-    async fn confirm(&self, kept: &mut Option<Link>, address: SocketAddr, after: u64) -> Loss {
+    async fn confirm(
+        &self,
+        kept: &mut Option<HttpConnection>,
+        address: SocketAddr,
+        after: u64,
+    ) -> CallFailure {
         sleep(CONFIRM_AFTER).await;
         // A link that is dropped in the middle of a call can't be used again.
         let mut link = kept.take();
@@ -146,14 +151,14 @@
                 Outcome::List(list) => {
                     *kept = link;
                     log::trace(SUBJECT, || format!("the watch is confirmed: {list}"));
-                    self.contact.confirmed();
+                    self.status.confirmed();
                     if list.rev > after {
                         self.pass_on(list);
                     }
                     return pending().await;
                 }
                 Outcome::Unmade => sleep(PACE).await,
-                Outcome::Busy => return Loss::Silent,
+                Outcome::Busy => return CallFailure::Silent,
                 Outcome::Lost(loss) => return loss,
             }
         }
@@ -189,14 +194,14 @@
     /// Withdraws the list whenever it has been unconfirmed for too long.
     async fn withdraw_unconfirmed(&self) {
         loop {
-            let since = self.contact.unconfirmed_since();
+            let since = self.status.unconfirmed_since();
             let until = since.zip(self.schedule.borrow().most_unconfirmed());
             let until = until.and_then(|(since, most)| since.checked_add(most));
             match until {
-                None => self.contact.changed().await,
+                None => self.status.changed().await,
                 Some(until) if until > Instant::now() => tokio::select! {
                     () = sleep_until(until) => {}
-                    () = self.contact.changed() => {}
+                    () = self.status.changed() => {}
                 },
                 Some(_) => self.withdraw(),
             }
@@ -205,7 +210,7 @@
 
     fn withdraw(&self) {
         log::line("no server is sent to: discovery fell silent as no watch was open".to_string());
-        self.contact.confirmed();
+        self.status.confirmed();
         self.held.set(None);
         self.report(Update::List(ListKind::Full, List::empty()));
     }
@@ -215,7 +220,7 @@
 #[derive(Default)]
 struct Links {
     /// For lists and watches.
-    list: Option<Link>,
+    list: Option<HttpConnection>,
     /// For the calls that confirm watches.
-    confirmation: Option<Link>,
+    confirmation: Option<HttpConnection>,
 }
--- a/src/bin/brassport/door.rs
+++ b/src/bin/brassport/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The door: the single owner of the decision module. It keeps the module's clock and timers and the
+//! The dispatcher: the single owner of the decision module. It keeps the module's clock and timers and the
 //! requests in hand, hands events in, and carries actions out in order. It decides nothing.
 
 use crate::backends::{Backends, End, Message};
@@ -42,7 +42,7 @@
 }
 
 /// A request that awaits its answer or the ends of its attempts.
-struct InHand {
+struct PendingRequest {
     /// Its client's name for it.
     name: String,
     /// The connection that it came on.
@@ -61,23 +61,23 @@
 
 struct Inner {
     gateway: Gateway,
-    requests: HashMap<RequestId, InHand>,
+    requests: HashMap<RequestId, PendingRequest>,
     /// The names of those.
     names: HashSet<String>,
     last: RequestId,
     alarms: BinaryHeap<Reverse<(Instant, u64)>>,
     /// The backends by the number that stands for each.
-    known: HashMap<ServerId, Known>,
+    known: HashMap<ServerId, KnownBackend>,
 }
 
 /// A backend on the list.
-struct Known {
+struct KnownBackend {
     uid: String,
     /// Its latest start as the list tells it, and on the module's clock: told twice, it is the same moment.
     boot: Option<(f64, Millis)>,
 }
 
-pub struct Door {
+pub struct Dispatcher {
     clock: Clock,
     zones: Vec<String>,
     backends: Rc<Backends>,
@@ -89,14 +89,14 @@
     sooner: Notify,
 }
 
-impl Door {
+impl Dispatcher {
     pub fn new(
         settings: Settings,
         seed: u64,
         zones: Vec<String>,
         backends: Rc<Backends>,
         counter: Counter,
-    ) -> Result<Rc<Door>, InvalidSetting> {
+    ) -> Result<Rc<Dispatcher>, InvalidSetting> {
         let clock = Clock::new();
         let once =
             settings.classes.iter().map(|class| class.idempotency == Idempotency::NonIdempotent).collect();
@@ -109,7 +109,7 @@
             known: HashMap::new(),
         };
         let (inner, sooner, guard) = (RefCell::new(inner), Notify::new(), Guard::default());
-        Ok(Rc::new(Door { clock, zones, backends, counter, once, guard, inner, sooner }))
+        Ok(Rc::new(Dispatcher { clock, zones, backends, counter, once, guard, inner, sooner }))
     }
 
     /// Takes a request in; `expires_in` and the id are filled in here. Guards against a second effect:
@@ -121,7 +121,7 @@
         message: Message,
         deadline: Instant,
         client: Rc<Connection>,
-    ) -> Option<Ticket> {
+    ) -> Option<PendingAnswer> {
         let (answer, receiver) = oneshot::channel();
         let mut inner = self.inner.borrow_mut();
         if !inner.names.insert(name.clone()) {
@@ -134,7 +134,7 @@
         log::trace(&name, || format!("taken in as {}, {left:.0} ms left", request.id));
         let message = Rc::new(message);
         let once = self.once.get(request.class).copied().unwrap_or(true);
-        let hand = InHand {
+        let hand = PendingRequest {
             name,
             client,
             message,
@@ -147,12 +147,12 @@
         inner.requests.insert(request.id, hand);
         drop(inner);
         self.handle(Event::Request(request));
-        Some(Ticket { door: self.clone(), id: request.id, answer: receiver })
+        Some(PendingAnswer { dispatcher: self.clone(), id: request.id, answer: receiver })
     }
 
     /// Reports what the guard has counted, and what is still in hand as the program ends.
     pub fn report(&self) {
-        let waits = |hand: &&InHand| hand.answer.is_some() && !hand.client.has_left();
+        let waits = |hand: &&PendingRequest| hand.answer.is_some() && !hand.client.has_left();
         let waiting = self.inner.borrow().requests.values().filter(waits).count();
         if waiting > 0 {
             self.guard.violated(Violation::EndedWithRequests, waiting);
@@ -233,7 +233,7 @@
         while known.get(&id).is_some_and(|other| other.uid != uid) {
             id = id.wrapping_add(1);
         }
-        known.entry(id).or_insert_with(|| Known { uid: uid.to_string(), boot: None });
+        known.entry(id).or_insert_with(|| KnownBackend { uid: uid.to_string(), boot: None });
         id
     }
 
@@ -413,7 +413,7 @@
     }
 
     fn forget_if_over(&mut self, request: RequestId) {
-        let over = |hand: &InHand| hand.answer.is_none() && hand.attempts.iter().all(Option::is_none);
+        let over = |hand: &PendingRequest| hand.answer.is_none() && hand.attempts.iter().all(Option::is_none);
         if self.requests.get(&request).is_some_and(over) {
             if let Some(hand) = self.requests.remove(&request) {
                 self.names.remove(&hand.name);
@@ -423,13 +423,13 @@
 }
 
 /// A client's claim to its answer. Dropped before that has come, it tells the module that the client left.
-pub struct Ticket {
-    door: Rc<Door>,
+pub struct PendingAnswer {
+    dispatcher: Rc<Dispatcher>,
     id: RequestId,
     answer: oneshot::Receiver<Answer>,
 }
 
-impl Ticket {
+impl PendingAnswer {
     /// The final answer. Guards against a request that nothing answers: it fails at `deadline`.
     pub async fn answer(mut self, deadline: Instant) -> Answer {
         tokio::select! {
@@ -440,19 +440,19 @@
     }
 }
 
-impl Drop for Ticket {
+impl Drop for PendingAnswer {
     fn drop(&mut self) {
-        let mut inner = self.door.inner.borrow_mut();
+        let mut inner = self.dispatcher.inner.borrow_mut();
         let Some(hand) = inner.requests.get_mut(&self.id) else { return };
         if hand.answer.take().is_none() {
             return;
         }
         log::trace(&hand.name, || "its client left, or its time is over".into());
         if Instant::now() < hand.deadline && !hand.client.has_left() {
-            self.door.guard.violated(Violation::Unanswered, &hand.name);
+            self.dispatcher.guard.violated(Violation::Unanswered, &hand.name);
         }
         inner.forget_if_over(self.id);
         drop(inner);
-        self.door.handle(Event::ClientDisconnected(self.id));
+        self.dispatcher.handle(Event::ClientDisconnected(self.id));
     }
 }
--- a/src/bin/brassport/host.rs
+++ b/src/bin/brassport/host_header.rs
@@ -9,7 +9,7 @@
 ///
 /// # Errors
 /// What is wrong, for the answer.
-pub fn settle<B>(request: &mut Request<B>) -> Result<(), &'static str> {
+pub fn normalize<B>(request: &mut Request<B>) -> Result<(), &'static str> {
     check(request.version(), request.headers())?;
     if let Some(host) = host_of_line(request.uri())? {
         request.headers_mut().insert(HOST, host);
--- a/src/bin/brassport/link.rs
+++ b/src/bin/brassport/http_connection.rs
@@ -26,15 +26,15 @@
     Broken,
 }
 
-pub struct Link {
+pub struct HttpConnection {
     sender: SendRequest<Full<Bytes>>,
     /// `None` once it is over.
     connection: Option<Connection<TokioIo<Socket>, Full<Bytes>>>,
     socket: Socket,
 }
 
-impl Link {
-    pub async fn open(address: SocketAddr) -> io::Result<Link> {
+impl HttpConnection {
+    pub async fn open(address: SocketAddr) -> io::Result<HttpConnection> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
         // Guards the memory against heads that do not end.
@@ -43,7 +43,7 @@
         let socket = Socket::new(stream);
         let io = TokioIo::new(socket.clone());
         let (sender, connection) = builder.handshake(io).await.map_err(io::Error::other)?;
-        Ok(Link { sender, connection: Some(connection), socket })
+        Ok(HttpConnection { sender, connection: Some(connection), socket })
     }
 
     /// Sends one request and waits for its whole answer, of `most` bytes at the most.
@@ -52,7 +52,7 @@
         request: Request<Full<Bytes>>,
         most: usize,
     ) -> Result<Response<Bytes>, Failure> {
-        let Link { sender, connection, .. } = self;
+        let HttpConnection { sender, connection, .. } = self;
         // hyper hands a request back only if it never began to write it.
         let answer = sender.try_send_request(request);
         let answer = drive(connection, answer).await.map_err(|mut error| match error.take_message() {
@@ -132,7 +132,7 @@
             // Stays open until the test is over.
             let _ = wait.recv();
         });
-        let mut link = Link::open(at).await.expect("a connection");
+        let mut link = HttpConnection::open(at).await.expect("a connection");
         let answer = link.exchange(Request::new(Full::default()), 100).await.expect("an answer");
         assert_eq!(answer.status(), StatusCode::OK);
         answered.send(()).expect("the peer waits");
--- a/src/bin/brassport/main.rs
+++ b/src/bin/brassport/main.rs
@@ -3,17 +3,17 @@
 
 mod acceptor;
 mod backends;
-mod callers;
+mod client_connections;
 mod client_stream;
 mod clients;
 mod clock;
 mod config;
 mod counter;
 mod discovery;
-mod door;
+mod dispatcher;
 mod guard;
-mod host;
-mod link;
+mod host_header;
+mod http_connection;
 mod log;
 mod reload;
 mod retry;
@@ -23,13 +23,13 @@
 
 use acceptor::Acceptor;
 use backends::Backends;
-use clients::{Desk, Phase};
+use clients::{Phase, ServeContext};
 use counter::Counter;
-use discovery::{Following, Source, Update};
-use door::Door;
-use signals::{Caught, Signals};
+use discovery::{Source, Subscription, Update};
+use dispatcher::Dispatcher;
+use signals::{CaughtSignals, Signals};
 use springusher::{ListKind, Settings};
-use startup::{Prepared, START_PATIENCE};
+use startup::{Prepared, START_TIMEOUT};
 use std::backtrace::{Backtrace, BacktraceStatus};
 use std::process::ExitCode;
 use std::rc::Rc;
@@ -61,7 +61,7 @@
         }
         std::process::abort();
     }));
-    let signals = match Caught::new() {
+    let signals = match CaughtSignals::new() {
         Ok(signals) => signals,
         Err(error) => return fail(&format!("cannot take signals: {error}")),
     };
@@ -76,14 +76,14 @@
     ExitCode::FAILURE
 }
 
-fn run(signals: Caught) -> Result<(), String> {
+fn run(signals: CaughtSignals) -> Result<(), String> {
     let build = || {
         if signals.terminated() {
             return Ok(None);
         }
         tokio::runtime::Builder::new_current_thread().enable_all().build().map(Some)
     };
-    let runtime = retry::blocking(START_PATIENCE, "starting the runtime", build)
+    let runtime = retry::blocking(START_TIMEOUT, "starting the runtime", build)
         .map_err(|error| format!("cannot start: {error}"))?;
     let Some(runtime) = runtime else { return Ok(()) };
     let result = LocalSet::new().block_on(&runtime, start(signals));
@@ -93,7 +93,7 @@
 }
 
 /// Starts the front door and runs it to its end. A SIGTERM until it listens ends the start, as nothing is in hand.
-async fn start(signals: Caught) -> Result<(), String> {
+async fn start(signals: CaughtSignals) -> Result<(), String> {
     let mut signals = signals.wait_on_runtime().map_err(|error| format!("cannot take signals: {error}"))?;
     let prepared = tokio::select! {
         biased;
@@ -110,11 +110,15 @@
 }
 
 /// Hands what is heard of discovery on, and tells when the first word has been.
-async fn take_in(mut updates: UnboundedReceiver<Update>, door: Rc<Door>, told: oneshot::Sender<()>) {
+async fn take_in(
+    mut updates: UnboundedReceiver<Update>,
+    dispatcher: Rc<Dispatcher>,
+    told: oneshot::Sender<()>,
+) {
     let mut told = Some(told);
     while let Some(update) = updates.recv().await {
         if let Update::List(kind, list) = update {
-            door.servers(kind, list);
+            dispatcher.servers(kind, list);
         }
         if let Some(told) = told.take() {
             let _ = told.send(());
@@ -131,22 +135,22 @@
     let backends = Rc::new(Backends::new(descriptors.clone(), config.connect_timeout, config.idle_timeout));
     let (counter, line) = Counter::new(config.counter_timeout);
     let (settings, zones) = (config.settings.clone(), config.names.zones.clone());
-    let door = Door::new(settings, config.seed, zones, backends.clone(), counter)
+    let dispatcher = Dispatcher::new(settings, config.seed, zones, backends.clone(), counter)
         .map_err(|error| error.to_string())?;
     let (counter, seen) = watch::channel(config.counter);
-    let counted = door.clone();
+    let counted = dispatcher.clone();
     spawn_local(line.keep(seen, move |report| counted.counter_reported(report)));
-    door.servers(ListKind::Cached, config.known);
-    spawn_local(door.clone().keep_time());
-    let Following { source, updates } = discovery;
+    dispatcher.servers(ListKind::Cached, config.known);
+    spawn_local(dispatcher.clone().keep_time());
+    let Subscription { source, updates } = discovery;
     let (told, first_word) = oneshot::channel();
-    spawn_local(take_in(updates, door.clone(), told));
+    spawn_local(take_in(updates, dispatcher.clone(), told));
     let sweeper = backends.clone();
     spawn_local(async move { sweeper.sweep().await });
 
     let (phase, seen) = watch::channel(Phase::Serving);
-    let desk = Rc::new(Desk {
-        door: door.clone(),
+    let context = Rc::new(ServeContext {
+        dispatcher: dispatcher.clone(),
         backends,
         names: config.names,
         settings: config.settings,
@@ -158,7 +162,7 @@
         let _ = timeout(FIRST_WORD_PATIENCE, first_word).await;
     }
     let acceptor = Acceptor::new(listener, descriptors.clone(), listening_since);
-    let mut serving = spawn_local(clients::serve(acceptor, desk, descriptors));
+    let mut serving = spawn_local(clients::serve(acceptor, context, descriptors));
 
     spawn_local(reload::follow(hangups, move |config| {
         source.send_modify(|source| {
@@ -173,9 +177,9 @@
     phase.send_replace(Phase::Closing);
     if timeout(closing.saturating_sub(LAST_WORDS), &mut serving).await.is_err() {
         phase.send_replace(Phase::Ended);
-        door.fail_all();
+        dispatcher.fail_all();
         let _ = timeout(LAST_WORDS, &mut serving).await;
     }
-    door.report();
+    dispatcher.report();
     Ok(())
 }
--- a/src/bin/brassport/reload.rs
+++ b/src/bin/brassport/reload.rs
@@ -2,7 +2,7 @@
 
 use crate::config::{self, Config, First, Problem};
 use crate::log;
-use crate::retry::Pauses;
+use crate::retry::Backoff;
 use tokio::signal::unix::Signal;
 use tokio::time::sleep;
 
@@ -10,7 +10,7 @@
 /// that can't be read, or is still being written, is read again, as the addresses that it moved are about to close.
 pub async fn follow(mut hangups: Signal, apply: impl Fn(Config)) {
     while hangups.recv().await.is_some() {
-        let mut pauses = Pauses::new();
+        let mut pauses = Backoff::new();
         let mut reported = false;
         loop {
             let problem = match config::read(|| First::File).await {
--- a/src/bin/brassport/retry.rs
+++ b/src/bin/brassport/retry.rs
@@ -12,7 +12,7 @@
 const LAST_PAUSE: Duration = Duration::from_millis(500);
 
 /// Whether the same call may succeed a moment later.
-pub fn may_pass(error: &io::Error) -> bool {
+pub fn is_transient(error: &io::Error) -> bool {
     !matches!(
         error.kind(),
         ErrorKind::NotFound
@@ -45,14 +45,14 @@
 
 /// The pauses between tries, each twice as long as the one before, up to a limit.
 #[derive(Debug)]
-pub struct Pauses {
+pub struct Backoff {
     next: Duration,
 }
 
-impl Pauses {
+impl Backoff {
     /// The first pauses.
-    pub fn new() -> Pauses {
-        Pauses { next: FIRST_PAUSE }
+    pub fn new() -> Backoff {
+        Backoff { next: FIRST_PAUSE }
     }
 
     /// Logs the first failure: the tries behind it may take a while.
@@ -74,7 +74,7 @@
 struct Tries<'a> {
     what: &'a str,
     until: Instant,
-    pauses: Pauses,
+    pauses: Backoff,
 }
 
 impl Tries<'_> {
@@ -83,7 +83,7 @@
     /// # Errors
     /// The failure itself, if it is one for good or the time is over.
     fn pause(&mut self, error: io::Error) -> io::Result<Duration> {
-        if !may_pass(&error) || Instant::now() >= self.until {
+        if !is_transient(&error) || Instant::now() >= self.until {
             return Err(error);
         }
         self.pauses.report(self.what, &error);
@@ -92,11 +92,11 @@
 }
 
 fn tries(patience: Duration, what: &str) -> Tries<'_> {
-    Tries { what, until: Instant::now() + patience, pauses: Pauses::new() }
+    Tries { what, until: Instant::now() + patience, pauses: Backoff::new() }
 }
 
 /// Makes a call again until it succeeds, fails for good, or `patience` is over.
-pub async fn within<T>(
+pub async fn retry_until<T>(
     patience: Duration,
     what: &str,
     mut call: impl AsyncFnMut() -> io::Result<T>,
--- a/src/bin/brassport/signals.rs
+++ b/src/bin/brassport/signals.rs
@@ -1,6 +1,6 @@
 //! The signals that the program takes: SIGHUP, at which the configuration is read again, and SIGTERM.
 //!
-//! Until they are taken each of them ends the process, so [`Caught::new`] is the first thing that `main` does.
+//! Until they are taken each of them ends the process, so [`CaughtSignals::new`] is the first thing that `main` does.
 //! A SIGHUP that comes before the configuration has been read asks for nothing: the file is read afterwards.
 
 use signal_hook::consts::signal::{SIGHUP, SIGTERM};
@@ -11,21 +11,21 @@
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
 /// Signals that are noted, before there is a runtime that could wait for them.
-pub struct Caught {
+pub struct CaughtSignals {
     terminated: Arc<AtomicBool>,
 }
 
-impl Caught {
+impl CaughtSignals {
     /// Takes the signals from now on.
     ///
     /// # Errors
     /// What the system says of it.
-    pub fn new() -> io::Result<Caught> {
+    pub fn new() -> io::Result<CaughtSignals> {
         let terminated = Arc::new(AtomicBool::new(false));
         flag::register(SIGTERM, terminated.clone())?;
         // That it came is of no use here; that it no longer ends the process is.
         flag::register(SIGHUP, Arc::default())?;
-        Ok(Caught { terminated })
+        Ok(CaughtSignals { terminated })
     }
 
     /// Whether a SIGTERM has come.
@@ -54,7 +54,7 @@
 /// SIGTERM, which may have come before there was a runtime.
 pub struct Termination {
     signal: Signal,
-    caught: Caught,
+    caught: CaughtSignals,
 }
 
 impl Termination {
--- a/src/bin/brassport/startup.rs
+++ b/src/bin/brassport/startup.rs
@@ -2,7 +2,7 @@
 
 use crate::acceptor;
 use crate::config::{self, Config, First, Problem};
-use crate::discovery::{self, Following, Service, Source};
+use crate::discovery::{self, Service, Source, Subscription};
 use crate::retry;
 use springusher::Settings;
 use std::pin::pin;
@@ -15,7 +15,7 @@
 /// Descriptors that are neither a client's nor a server's: streams, event queue, listener, discovery.
 const OWN_DESCRIPTORS: usize = 32;
 /// How long a start goes on trying what the system can't do for a moment: it has to be ready within 30 s.
-pub const START_PATIENCE: Duration = Duration::from_secs(20);
+pub const START_TIMEOUT: Duration = Duration::from_secs(20);
 /// How long the first try of reading the configuration may take before discovery is asked meanwhile.
 const FIRST_READ_PATIENCE: Duration = Duration::from_millis(250);
 
@@ -26,7 +26,7 @@
     pub listening_since: Instant,
     /// Descriptors for clients and servers.
     pub descriptors: Arc<Semaphore>,
-    pub discovery: Following,
+    pub discovery: Subscription,
 }
 
 /// Reads the configuration, begins to follow the list of servers, and listens.
@@ -40,14 +40,14 @@
     let spare = spare.ok_or_else(|| format!("limits.sockets: {most} are too few"))?;
     let descriptors = Arc::new(Semaphore::new(spare.min(Semaphore::MAX_PERMITS)));
     let bind = async || acceptor::listen(config.listen);
-    let listener = retry::within(START_PATIENCE, "listening", bind).await;
+    let listener = retry::retry_until(START_TIMEOUT, "listening", bind).await;
     let listener = listener.map_err(|error| format!("cannot listen on {}: {error}", config.listen))?;
     Ok(Prepared { config, listener, listening_since: Instant::now(), descriptors, discovery })
 }
 
 /// Reads the configuration and begins to follow the list. What the agent has counts as told from the start of the
 /// process on: where the file is late, discovery is asked at the address that the environment names.
-async fn read_and_follow() -> Result<(Config, Following), Problem> {
+async fn read_and_follow() -> Result<(Config, Subscription), Problem> {
     let began = Instant::now();
     let is_late = || began.elapsed() >= FIRST_READ_PATIENCE;
     let mut first_reading = pin!(config::read(|| if is_late() { First::File } else { First::Environment }));
@@ -57,7 +57,7 @@
             let discovery = discovery::follow(source(&config));
             return Ok((config, discovery));
         }
-        Some(Err(problem)) if !problem.may_pass() => return Err(problem),
+        Some(Err(problem)) if !problem.is_transient() => return Err(problem),
         Some(Err(_)) | None => {}
     }
     let early = config::discovery_in_environment().map(|address| {
@@ -66,13 +66,13 @@
     });
     // A reading that hangs goes on: two at a time could take the file from each other where it is a pipe.
     let config = match first {
-        None => timeout(START_PATIENCE, first_reading).await.unwrap_or_else(|_| Err(Problem::timed_out())),
+        None => timeout(START_TIMEOUT, first_reading).await.unwrap_or_else(|_| Err(Problem::timed_out())),
         Some(failed) => failed,
     };
-    let patience_left = START_PATIENCE.saturating_sub(began.elapsed());
+    let patience_left = START_TIMEOUT.saturating_sub(began.elapsed());
     let config = match config {
         // By now the file may have been replaced, and is newer than the environment.
-        Err(problem) if problem.may_pass() => config::read_within(patience_left, First::File).await?,
+        Err(problem) if problem.is_transient() => config::read_within(patience_left, First::File).await?,
         config => config?,
     };
     let discovery = match early {
--- a/src/bin/springusher-benchlink.rs
+++ b/src/bin/springusher-benchlink.rs
@@ -42,18 +42,18 @@
 ) -> Result<(), WireError> {
     let mut actions: Vec<Action> = Vec::new();
     let outcome = match event {
-        WireEvent::Born { seed, settings } => {
+        WireEvent::Start { seed, settings } => {
             match Gateway::new(*settings, seed, clock) {
                 Ok(gateway) => gateways.insert(instance, gateway),
                 Err(error) => return Err(WireError::Malformed(error.to_string())),
             };
             Ok(())
         }
-        WireEvent::Detach => {
+        WireEvent::Stop => {
             gateways.remove(&instance);
             Ok(())
         }
-        WireEvent::Unused => Ok(()),
+        WireEvent::Ignored => Ok(()),
         WireEvent::Event(event) => {
             let Some(gateway) = gateways.get_mut(&instance) else {
                 return Err(WireError::Malformed(format!(
@@ -69,7 +69,7 @@
             gateways.remove(&instance);
             let text = cause.downcast_ref::<String>().map(String::as_str);
             let text = text.or_else(|| cause.downcast_ref::<&str>().copied());
-            reply.die(instance, text.unwrap_or("the decision module panicked"));
+            reply.instance_failed(instance, text.unwrap_or("the decision module panicked"));
         }
     }
     Ok(())
--- a/src/calls.rs
+++ b/src/counter_calls.rs
@@ -6,15 +6,15 @@
 
 /// The calls that are out, each with what has to be known again at its end.
 #[derive(Debug)]
-pub(crate) struct Calls<T> {
+pub(crate) struct CounterCalls<T> {
     /// By name, the oldest first.
     out: BTreeMap<CounterKey, VecDeque<T>>,
     due: Vec<Action>,
 }
 
-impl<T> Calls<T> {
-    pub fn new() -> Calls<T> {
-        Calls { out: BTreeMap::new(), due: Vec::new() }
+impl<T> CounterCalls<T> {
+    pub fn new() -> CounterCalls<T> {
+        CounterCalls { out: BTreeMap::new(), due: Vec::new() }
     }
 
     /// Makes a call.
--- a/src/counts.rs
+++ b/src/counter_limits.rs
@@ -2,7 +2,7 @@
 //! each request enters before its first attempt and leaves behind its last; a token bucket for its rate where
 //! there is no meter, from which a request draws its units before it is sent on.
 
-use crate::calls::Calls;
+use crate::counter_calls::CounterCalls;
 use crate::interface::*;
 use std::collections::BTreeMap;
 
@@ -29,13 +29,13 @@
 
 /// What the counter told; `None` if it did not say.
 #[derive(Debug, Clone, Copy)]
-pub(crate) enum Told {
+pub(crate) enum LimitAnswer {
     /// Attempts out under the cap, with the one that asks.
-    Places(Option<f64>),
+    InFlight(Option<f64>),
     /// Whether the bucket holds what is drawn.
-    Bucket(Option<bool>),
+    WithinBucket(Option<bool>),
     /// A place that was held is taken again, for a request that did not wait for it.
-    TakenAgain,
+    Reacquired,
 }
 
 /// What a call that is out is for.
@@ -67,11 +67,11 @@
 }
 
 #[derive(Debug)]
-pub(crate) struct Counts {
+pub(crate) struct CounterLimits {
     /// A gauge serves for a stretch this long: what gateways that died left on it is gone with it. Hurts for
     /// a moment where one ends, as what is out then is not on the next.
     stretch: Millis,
-    calls: Calls<Call>,
+    calls: CounterCalls<Call>,
     /// What each request has added to which number, to be taken off again.
     held: BTreeMap<(RequestId, CounterKey), f64>,
     returns: Returns,
@@ -83,14 +83,14 @@
     ahead: Millis,
 }
 
-impl Counts {
+impl CounterLimits {
     /// `longest` is the longest time that a request may take.
-    pub fn new(longest: Millis, plans: usize) -> Counts {
+    pub fn new(longest: Millis, plans: usize) -> CounterLimits {
         let admitted = vec![[1.0; 2]; plans];
-        Counts {
+        CounterLimits {
             admitted,
             stretch: longest.max(1.0),
-            calls: Calls::new(),
+            calls: CounterCalls::new(),
             held: BTreeMap::new(),
             returns: Returns::default(),
             asked: 1.0,
@@ -181,7 +181,7 @@
         key: CounterKey,
         result: AddResult,
         plans: &[Plan],
-    ) -> Option<(RequestId, Told)> {
+    ) -> Option<(RequestId, LimitAnswer)> {
         let total = if let AddResult::Total(total) = result { Some(total) } else { None };
         let change = if total.is_some() { REGAIN } else { -SHED * self.asked };
         self.asked = (self.asked + change).clamp(LEAST_ASKED, 1.0);
@@ -198,9 +198,9 @@
         if result != AddResult::NotAdded {
             self.held.insert((id, key), amount);
         }
-        let Some(request) = waits else { return Some((id, Told::TakenAgain)) };
+        let Some(request) = waits else { return Some((id, LimitAnswer::Reacquired)) };
         if key & BUCKET == 0 {
-            return Some((request.id, Told::Places(total)));
+            return Some((request.id, LimitAnswer::InFlight(total)));
         }
         let plan = &plans[request.plan];
         let seconds = self.number(now, fill(plan), &request).1 * fill(plan) / 1000.0;
@@ -210,10 +210,10 @@
             let share = &mut self.admitted[request.plan][usize::from(request.is_client_retry)];
             *share += LEARN * (f64::from(u8::from(within)) - *share);
         }
-        Some((request.id, Told::Bucket(within)))
+        Some((request.id, LimitAnswer::WithinBucket(within)))
     }
 
-    /// Hands over the calls that are due; `token` names the timer for [`Counts::return_owed`].
+    /// Hands over the calls that are due; `token` names the timer for [`CounterLimits::return_owed`].
     pub fn hand_over(&mut self, now: Millis, token: u64, actions: &mut Vec<Action>) {
         self.calls.hand_over(actions);
         if !self.returns.owed.is_empty() && !self.returns.due {
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -5,9 +5,9 @@
 use std::collections::BTreeMap;
 
 /// A server silent for so many mean answer times, with work of ours in hand, is taken to hang.
-pub(crate) const SILENCE: f64 = 4.0;
+pub(crate) const HUNG_AFTER: f64 = 4.0;
 /// An attempt out for so many mean answer times may get a further one.
-pub(crate) const PATIENCE: f64 = 3.0;
+pub(crate) const HEDGE_AFTER: f64 = 3.0;
 /// Weight of a new answer in a server's pace: about the last 10 of them count.
 const SAMPLE: f64 = 0.1;
 /// Mean answer times after which what was learned of a server's pace has faded to a third.
@@ -41,9 +41,9 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Moment {
+pub(crate) struct FleetClock {
     pub now: Millis,
-    pub mean_answer: Millis,
+    pub mean_response_time: Millis,
 }
 
 /// The servers that the list names, and those gone from it that still hold work of ours.
@@ -81,7 +81,7 @@
     }
 
     /// Follows the server list. A server that drains or is gone gets nothing from this moment on.
-    pub fn follow(&mut self, gateway: u32, now: Millis, kind: ListKind, entries: Vec<ServerEntry>) {
+    pub fn apply_list(&mut self, gateway: u32, now: Millis, kind: ListKind, entries: Vec<ServerEntry>) {
         if kind != ListKind::Delta {
             for server in self.servers.values_mut() {
                 server.entry.lifecycle = Lifecycle::Gone;
@@ -120,13 +120,13 @@
         subset
     }
 
-    pub fn began(&mut self, id: ServerId, now: Millis) {
+    pub fn attempt_started(&mut self, id: ServerId, now: Millis) {
         if let Some(server) = self.servers.get_mut(&id) {
             server.out.push(now);
         }
     }
 
-    pub fn ended(&mut self, id: ServerId, sent: Millis) {
+    pub fn attempt_ended(&mut self, id: ServerId, sent: Millis) {
         let Some(server) = self.servers.get_mut(&id) else { return };
         if let Some(place) = server.out.iter().position(|at| *at == sent) {
             server.out.remove(place);
@@ -147,23 +147,23 @@
     }
 
     /// Time taken against the fleet's mean, to which it fades: a server passed over is tried again.
-    fn slowness(moment: Moment, server: &Server) -> f64 {
+    fn slowness(moment: FleetClock, server: &Server) -> f64 {
         if server.slowness == 1.0 {
             // Most servers of a large fleet are never asked from here.
             return 1.0;
         }
-        let age = (moment.now - server.judged).max(0.0) / moment.mean_answer.max(1.0);
+        let age = (moment.now - server.judged).max(0.0) / moment.mean_response_time.max(1.0);
         1.0 + (server.slowness - 1.0) * (-age / FADE).exp()
     }
 
     /// Mean answer times for which a server that holds work of ours has said nothing.
-    fn silence(moment: Moment, server: &Server) -> f64 {
+    fn silence(moment: FleetClock, server: &Server) -> f64 {
         let Some(oldest) = server.out.first() else { return 0.0 };
-        (moment.now - oldest.max(server.answered)) / moment.mean_answer.max(1.0)
+        (moment.now - oldest.max(server.answered)) / moment.mean_response_time.max(1.0)
     }
 
-    pub fn hangs(&self, moment: Moment, id: ServerId) -> bool {
-        self.servers.get(&id).is_none_or(|server| Fleet::silence(moment, server) > SILENCE)
+    pub fn is_hung(&self, moment: FleetClock, id: ServerId) -> bool {
+        self.servers.get(&id).is_none_or(|server| Fleet::silence(moment, server) > HUNG_AFTER)
     }
 
     fn is_ejected(now: Millis, server: &Server) -> bool {
@@ -172,9 +172,9 @@
 
     /// Picks the server with the least expected wait, as far as own work and answers tell. `home` is where an
     /// earlier attempt may have run, `tried` tells which servers had one.
-    pub fn choose(
+    pub fn choose_server(
         &self,
-        moment: Moment,
+        moment: FleetClock,
         settings: &Settings,
         idempotency: Idempotency,
         home: Option<ServerEntry>,
@@ -228,9 +228,9 @@
     }
 
     /// Learns from the end of an attempt that took `elapsed`, where answers of its class take `usual`.
-    pub fn judge(
+    pub fn record_outcome(
         &mut self,
-        moment: Moment,
+        moment: FleetClock,
         id: ServerId,
         outcome: Outcome,
         elapsed: Millis,
@@ -240,7 +240,7 @@
         let Some(server) = self.servers.get_mut(&id) else { return };
         server.slowness = Fleet::slowness(moment, server);
         server.judged = moment.now;
-        let worst = 2.0 * SILENCE;
+        let worst = 2.0 * HUNG_AFTER;
         let pace = (elapsed / usual).min(worst);
         match outcome {
             Outcome::Ok => {
@@ -270,7 +270,7 @@
                 actions.push(Action::Log(format!("server {id} ejected: {STRIKES} failures in a row")));
             }
             let doublings = (server.strikes - STRIKES).min(4);
-            server.ejected_until = moment.now + PATIENCE * usual * f64::from(1u32 << doublings);
+            server.ejected_until = moment.now + HEDGE_AFTER * usual * f64::from(1u32 << doublings);
         }
     }
 }
--- a/src/control.rs
+++ b/src/gateway.rs
@@ -3,10 +3,10 @@
 //! Admission follows the paper's random refusal: each gateway refuses a customer's requests with chance
 //! 1 - quota / offered, the offered rate of all from the meter, the class of the lowest worth first.
 
-use crate::counts::{Counts, Told};
-use crate::fleet::{Fleet, Moment, PATIENCE};
+use crate::counter_limits::{CounterLimits, LimitAnswer};
+use crate::fleet::{Fleet, FleetClock, HEDGE_AFTER};
 use crate::interface::*;
-use crate::meter::MeterClock;
+use crate::meter::MeterPeriods;
 use oorandom::Rand64;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -148,14 +148,14 @@
     customers: BTreeMap<CustomerId, Customer>,
     /// What customers of each plan send and offer, in parts of the quota, as far as readings tell.
     plan_use: Vec<(f64, f64)>,
-    meter: MeterClock,
+    meter: MeterPeriods,
     swept: Millis,
     /// Refusals since then for want of room, and for want of a server.
     no_room: u32,
     no_server: u32,
     requests: BTreeMap<RequestId, Open>,
     fleet: Fleet,
-    counts: Counts,
+    counts: CounterLimits,
     /// Recent share of each class in the offered units, and the classes from the highest worth down.
     class_mix: Vec<f64>,
     class_order: Vec<usize>,
@@ -206,13 +206,13 @@
             now,
             customers: BTreeMap::new(),
             plan_use: vec![(CALM_USE, CALM_USE); settings.plans.len()],
-            meter: MeterClock::new(settings.meter_period),
+            meter: MeterPeriods::new(settings.meter_period),
             swept: now,
             no_room: 0,
             no_server: 0,
             requests: BTreeMap::new(),
             fleet: Fleet::default(),
-            counts: Counts::new(
+            counts: CounterLimits::new(
                 settings.classes.iter().map(|class| class.deadline).fold(0.0, f64::max),
                 settings.plans.len(),
             ),
@@ -221,7 +221,7 @@
             answer_time: settings
                 .classes
                 .iter()
-                .map(|class| class.latency_target / (2.0 * PATIENCE))
+                .map(|class| class.latency_target / (2.0 * HEDGE_AFTER))
                 .collect(),
             room: START_ROOM,
             room_at: now,
@@ -393,7 +393,7 @@
         customer.offered_here *= fade;
         (customer.heard, customer.heard_at) = (customer.heard * fade + seconds, now);
         let usual = self.plan_use[request.plan];
-        customer.settle(&plan, usual, now, self.meter.reach());
+        customer.settle(&plan, usual, now, self.meter.history_span());
         if now >= customer.chance_set + period {
             customer.set_chance(&plan, usual, now, period);
         }
@@ -416,7 +416,7 @@
         }
         let units = quota_usage * plan.rate * period / 1000.0;
         self.meter.learn(now, units, &customer.sends);
-        let to = self.meter.told(now, units, |from, to| customer.sent(from, to));
+        let to = self.meter.period_end(now, units, |from, to| customer.sent(from, to));
         if to <= customer.read {
             return;
         }
@@ -505,12 +505,12 @@
         true
     }
 
-    fn mean_answer(&self) -> f64 {
+    fn mean_response_time(&self) -> f64 {
         self.answer_time.iter().zip(&self.class_mix).map(|(time, share)| time * share).sum()
     }
 
-    fn moment(&self) -> Moment {
-        Moment { now: self.now, mean_answer: self.mean_answer() }
+    fn moment(&self) -> FleetClock {
+        FleetClock { now: self.now, mean_response_time: self.mean_response_time() }
     }
 
     fn choose(&mut self, request: RequestId) -> Option<ServerId> {
@@ -518,7 +518,7 @@
         let idempotency = self.settings.classes[open.request.class].idempotency;
         let home = open.attempts.iter().find(|attempt| attempt.may_have_run).map(|attempt| attempt.to);
         let tried = |id| open.attempts.iter().any(|attempt| attempt.to.id == id);
-        self.fleet.choose(self.moment(), &self.settings, idempotency, home, tried, &mut self.rng)
+        self.fleet.choose_server(self.moment(), &self.settings, idempotency, home, tried, &mut self.rng)
     }
 
     fn judge(&mut self, class: usize, id: ServerId, end: &AttemptEnd, actions: &mut Vec<Action>) {
@@ -532,7 +532,7 @@
         if end.outcome == Outcome::Overloaded {
             self.full_at = self.now;
         }
-        self.fleet.judge(self.moment(), id, end.outcome, elapsed, usual, actions);
+        self.fleet.record_outcome(self.moment(), id, end.outcome, elapsed, usual, actions);
         if end.outcome == Outcome::Ok && self.fleet.entry(id).is_some() {
             blend(&mut self.answer_time[class], elapsed, SAMPLE / 5.0);
         }
@@ -563,7 +563,7 @@
     fn counted(&mut self, key: CounterKey, result: AddResult, actions: &mut Vec<Action>) {
         let told = self.counts.counted(self.now, key, result, &self.settings.plans);
         let Some((id, told)) = told else { return };
-        if matches!(told, Told::TakenAgain) && self.requests.contains_key(&id) {
+        if matches!(told, LimitAnswer::Reacquired) && self.requests.contains_key(&id) {
             return;
         }
         let Some(open) = self.requests.get(&id).filter(|open| !open.done) else {
@@ -572,19 +572,19 @@
         };
         let request = open.request;
         match told {
-            Told::Bucket(within) => {
+            LimitAnswer::WithinBucket(within) => {
                 let share = within.map(|within| f64::from(u8::from(within)));
                 let share = share.unwrap_or_else(|| self.without_counter(&request));
                 self.admit_by_chance(&request, share, actions);
             }
-            Told::Places(Some(taken))
+            LimitAnswer::InFlight(Some(taken))
                 if taken > f64::from(self.settings.plans[request.plan].max_concurrent) =>
             {
-                let wait = self.mean_answer() * (0.5 + self.rng.rand_float());
+                let wait = self.mean_response_time() * (0.5 + self.rng.rand_float());
                 self.refuse(id, wait, RefusalReason::ConcurrencyLimit, actions);
             }
-            Told::Places(_) => self.send_first(id, actions),
-            Told::TakenAgain => {}
+            LimitAnswer::InFlight(_) => self.send_first(id, actions),
+            LimitAnswer::Reacquired => {}
         }
     }
 
@@ -617,7 +617,7 @@
         let Some(entry) = self.fleet.entry(to) else { return };
         let idempotency = self.settings.classes[open.request.class].idempotency;
         let start_by = open.may_repeat_until(idempotency) - 2.0 * self.settings.tick;
-        self.fleet.began(to, self.now);
+        self.fleet.attempt_started(to, self.now);
         open.held = false;
         open.attempts.push(Attempt { to: entry, sent: self.now, out: true, may_have_run: true });
         if let Some(customer) = self.customers.get_mut(&open.request.customer) {
@@ -626,7 +626,7 @@
         actions.push(Action::Send { request: id, server: to, give_up_at: None, start_by });
         let class = open.request.class;
         let patience =
-            (PATIENCE * self.answer_time[class]).min(USEFUL * self.settings.classes[class].latency_target);
+            (HEDGE_AFTER * self.answer_time[class]).min(USEFUL * self.settings.classes[class].latency_target);
         actions.push(Action::Timer { at: self.now + patience, token: (id << 2) + REVIEW });
     }
 
@@ -671,13 +671,13 @@
         if self.may_try_again(open) {
             self.further(id, actions);
         } else if free && !self.may_copy(open) && self.settings.may_cancel {
-            let silent = self.fleet.hangs(self.moment(), last.to.id);
+            let silent = self.fleet.is_hung(self.moment(), last.to.id);
             let useful = self.now < open.arrived + self.settings.classes[open.request.class].latency_target;
             let more = open.attempts.len() < self.settings.max_attempts as usize && self.retry_budget >= 1.0;
             if silent && useful && more {
                 actions.push(Action::Cancel { request: id, attempt: (open.attempts.len() - 1) as u8 });
             } else if useful && more {
-                let again = self.now + PATIENCE * self.mean_answer() / 2.0;
+                let again = self.now + HEDGE_AFTER * self.mean_response_time() / 2.0;
                 actions.push(Action::Timer { at: again, token: (id << 2) + REVIEW });
             }
         }
@@ -703,7 +703,7 @@
         if end.finished {
             open.done = true;
         }
-        self.fleet.ended(server, sent);
+        self.fleet.attempt_ended(server, sent);
         self.judge(request.class, server, &end, actions);
         let next = self.customers.get_mut(&request.customer).and_then(|customer| {
             customer.open = customer.open.saturating_sub(1);
@@ -784,7 +784,7 @@
         if kind == ListKind::Failed {
             return;
         }
-        self.fleet.follow(self.settings.ordinal, self.now, kind, entries);
+        self.fleet.apply_list(self.settings.ordinal, self.now, kind, entries);
         self.idle_part = IDLE * self.fleet.ready() as f64 / f64::from(self.settings.gateways);
         self.limit = self.limit.max(self.idle_part);
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -47,13 +47,13 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod calls;
-pub mod control;
-mod counts;
+mod counter_calls;
+mod counter_limits;
 mod fleet;
+pub mod gateway;
 pub mod interface;
 mod meter;
 pub mod wire;
 
-pub use control::Gateway;
+pub use gateway::Gateway;
 pub use interface::*;
--- a/src/meter.rs
+++ b/src/meter.rs
@@ -23,26 +23,26 @@
 
 /// Learns when the meter's periods end and how long after that they are told.
 #[derive(Debug)]
-pub struct MeterClock {
+pub struct MeterPeriods {
     period: Millis,
     /// Misfit of each place of the end, and for each of them of every delay.
     misfit: Vec<f64>,
     best: usize,
 }
 
-impl MeterClock {
+impl MeterPeriods {
     /// A clock for periods of that length, 0 if there is no meter.
-    pub fn new(period: Millis) -> MeterClock {
+    pub fn new(period: Millis) -> MeterPeriods {
         let doubt = |n: usize| DOUBT * ((n % DELAYS) as f64 / PARTS as f64 - USUAL_DELAY).abs();
         let misfit: Vec<f64> = (0..PARTS * DELAYS).map(doubt).collect();
         let best = least(&misfit);
-        MeterClock { period, misfit, best }
+        MeterPeriods { period, misfit, best }
     }
 
     /// The end of the period that a reading of so many units tells of now. Where it is told so near to the
     /// moment at which the next period's readings begin that it may be of either, it is of the one that what
     /// was sent from here fits better; `sent` tells that of a period.
-    pub fn told(&self, now: Millis, units: f64, sent: impl Fn(Millis, Millis) -> f64) -> Millis {
+    pub fn period_end(&self, now: Millis, units: f64, sent: impl Fn(Millis, Millis) -> f64) -> Millis {
         if self.period <= 0.0 {
             return now;
         }
@@ -68,7 +68,7 @@
     }
 
     /// How far back sends matter, above nought also without a meter: no reading tells of earlier ones.
-    pub fn reach(&self) -> Millis {
+    pub fn history_span(&self) -> Millis {
         ((MOST_PERIODS + 2) as f64 * self.period).max(1.0)
     }
 
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -7,9 +7,9 @@
 use std::io::{self, Read};
 
 /// Size of an event record.
-pub const EVENT: usize = 48;
+pub const EVENT_SIZE: usize = 48;
 /// Size of an action record.
-pub const ACTION: usize = 24;
+pub const ACTION_SIZE: usize = 24;
 /// A frame longer than this is taken for garbage.
 const FRAME_LIMIT: u32 = 1 << 30;
 
@@ -76,7 +76,7 @@
             return malformed(format!("frame cut short after {} of {length} bytes", body.len()));
         }
         let count = Record(&body).u32(0) as usize;
-        if count > (body.len() - 4) / EVENT {
+        if count > (body.len() - 4) / EVENT_SIZE {
             return malformed(format!("{count} records do not fit a frame of {length} bytes"));
         }
         Ok(Some(Batch { clock, count, body }))
@@ -87,9 +87,9 @@
     /// # Errors
     /// On an unknown code or a reference outside the tail.
     pub fn event(&self, index: usize) -> Result<(u16, WireEvent), WireError> {
-        let start = 4 + index * EVENT;
-        let tail = &self.body[4 + self.count * EVENT..];
-        decode(&self.body[start..start + EVENT], tail)
+        let start = 4 + index * EVENT_SIZE;
+        let tail = &self.body[4 + self.count * EVENT_SIZE..];
+        decode(&self.body[start..start + EVENT_SIZE], tail)
     }
 }
 
@@ -97,18 +97,18 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum WireEvent {
     /// An instance starts.
-    Born {
+    Start {
         /// Its seed.
         seed: u64,
         /// Its settings.
         settings: Box<Settings>,
     },
     /// An instance was killed.
-    Detach,
+    Stop,
     /// An event of the module's interface.
     Event(Event),
     /// An event that the module has no use for: probes and peers, which it never asks for.
-    Unused,
+    Ignored,
 }
 
 /// Big-endian fields of a slice whose length was checked before.
@@ -183,7 +183,7 @@
             let Ok(text) = std::str::from_utf8(text) else {
                 return malformed("BORN params are not UTF-8");
             };
-            WireEvent::Born { seed: record.u64(3), settings: Box::new(settings(text)?) }
+            WireEvent::Start { seed: record.u64(3), settings: Box::new(settings(text)?) }
         }
         20 => {
             let kind = match record.u8(3) {
@@ -197,12 +197,12 @@
             let entries = entries.chunks_exact(ENTRY).map(server_entry).collect::<Result<_, _>>()?;
             WireEvent::Event(Event::Servers { kind, entries })
         }
-        23 => WireEvent::Detach,
+        23 => WireEvent::Stop,
         24 => WireEvent::Event(Event::ResponseStarted(record.u64(3))),
         26 => WireEvent::Event(Event::ClientDisconnected(record.u64(3))),
         21 => {
             record.tail(5, 1, tail, "MESSAGE payload")?;
-            WireEvent::Unused
+            WireEvent::Ignored
         }
         22 => WireEvent::Event(Event::CounterAnswer {
             key: record.u64(3),
@@ -212,7 +212,7 @@
                 _ => AddResult::Unknown,
             },
         }),
-        25 => WireEvent::Unused,
+        25 => WireEvent::Ignored,
         other => return malformed(format!("event code {other} is unknown")),
     };
     Ok((record.u16(1), event))
@@ -397,7 +397,7 @@
     }
 
     /// Declares that the decision code of an instance failed.
-    pub fn die(&mut self, instance: u16, text: &str) {
+    pub fn instance_failed(&mut self, instance: u16, text: &str) {
         self.text(92, instance, text);
     }
 
@@ -415,7 +415,7 @@
         self.records.push(code);
         self.records.extend(instance.to_be_bytes());
         fields(&mut self.records);
-        self.records.resize(self.count as usize * ACTION, 0);
+        self.records.resize(self.count as usize * ACTION_SIZE, 0);
     }
 
     /// The frame.
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,16 +1,16 @@
 //! The codec: each record, and input that breaks the layout.
 
-use springusher::wire::{settings, Batch, Reply, WireError, WireEvent, ACTION, EVENT};
+use springusher::wire::{settings, Batch, Reply, WireError, WireEvent, ACTION_SIZE, EVENT_SIZE};
 use springusher::*;
 use std::io::Write;
 use std::process::{Command, Stdio};
 
 /// An event record under construction: code, instance, then fields at their positions.
-struct Rec([u8; EVENT]);
+struct Rec([u8; EVENT_SIZE]);
 
 impl Rec {
     fn new(code: u8, instance: u16) -> Rec {
-        Rec([0; EVENT]).put(0, &[code]).put(1, &instance.to_be_bytes())
+        Rec([0; EVENT_SIZE]).put(0, &[code]).put(1, &instance.to_be_bytes())
     }
     fn put(mut self, at: usize, bytes: &[u8]) -> Rec {
         self.0[at..at + bytes.len()].copy_from_slice(bytes);
@@ -169,13 +169,13 @@
     assert_eq!(event(Rec::new(17, 3).put(3, &id)), Event::Timer(5));
     assert_eq!(event(Rec::new(24, 3).put(3, &id)), Event::ResponseStarted(5));
     assert_eq!(event(Rec::new(26, 3).put(3, &id)), Event::ClientDisconnected(5));
-    assert_eq!(decode(Rec::new(23, 3), &[]).expect("readable"), (3, WireEvent::Detach));
+    assert_eq!(decode(Rec::new(23, 3), &[]).expect("readable"), (3, WireEvent::Stop));
     for code in [21, 25] {
-        assert_eq!(decode(Rec::new(code, 3), &[]).expect("readable"), (3, WireEvent::Unused));
+        assert_eq!(decode(Rec::new(code, 3), &[]).expect("readable"), (3, WireEvent::Ignored));
     }
     let text = params();
     let born = Rec::new(19, 3).put(3, &id).put(15, &(text.len() as u32).to_be_bytes());
-    let expected = WireEvent::Born { seed: 5, settings: Box::new(settings(&text).expect("readable")) };
+    let expected = WireEvent::Start { seed: 5, settings: Box::new(settings(&text).expect("readable")) };
     assert_eq!(decode(born, text.as_bytes()).expect("readable"), (3, expected));
 }
 
@@ -235,11 +235,11 @@
     reply.push(3, &Action::Cancel { request: 9, attempt: 1 });
     reply.push(3, &Action::WatchServers);
     reply.push(3, &Action::Log("ab".into()));
-    reply.die(4, "cde");
+    reply.instance_failed(4, "cde");
     let bytes = reply.into_bytes();
-    assert_eq!(bytes.len(), 8 + 8 * ACTION + 5);
-    assert_eq!(bytes[..8], [0, 0, 0, 8, 0, 0, 0, (8 * ACTION + 5) as u8]);
-    let record = |index: usize| &bytes[8 + index * ACTION..8 + (index + 1) * ACTION];
+    assert_eq!(bytes.len(), 8 + 8 * ACTION_SIZE + 5);
+    assert_eq!(bytes[..8], [0, 0, 0, 8, 0, 0, 0, (8 * ACTION_SIZE + 5) as u8]);
+    let record = |index: usize| &bytes[8 + index * ACTION_SIZE..8 + (index + 1) * ACTION_SIZE];
     let codes: Vec<_> = (0..8).map(|index| record(index)[0]).collect();
     assert_eq!(codes, [91, 82, 83, 88, 86, 81, 84, 92]);
     assert_eq!(record(0)[1..3], [0, 3]);
@@ -252,7 +252,7 @@
     assert_eq!(record(4)[11], 1);
     assert_eq!(record(5)[3], 1);
     assert_eq!(record(7)[3..11], [0, 0, 0, 2, 0, 0, 0, 3]);
-    assert_eq!(&bytes[8 + 8 * ACTION..], b"abcde");
+    assert_eq!(&bytes[8 + 8 * ACTION_SIZE..], b"abcde");
 }
 
 /// Runs the adapter on some input; returns whether it succeeded, its output and its error text.
@@ -280,7 +280,7 @@
     assert!(success && error.is_empty(), "{error}");
     assert_eq!(output[..16], [0; 16], "two batches without actions");
     // No server is listed: a timer, then a refusal.
-    assert_eq!((output[16 + 3], output[16 + 8], output[16 + 8 + ACTION]), (2, 82, 83));
+    assert_eq!((output[16 + 3], output[16 + 8], output[16 + 8 + ACTION_SIZE]), (2, 82, 83));
 }
 
 #[test]
