--- a/src/bin/brassport/discovery/schedule.rs
+++ b/src/bin/brassport/discovery/schedule.rs
@@ -170,7 +170,7 @@
     }
 
     #[test]
-    fn front_doors_that_are_turned_away_together_come_again_apart_and_ever_less_often() {
+    fn gateways_that_are_turned_away_together_call_again_at_different_and_growing_intervals() {
         let calls = calls(100, 20);
         assert!(calls[0] <= 350, "{calls:?}");
         assert!(calls[8..].iter().all(|count| *count <= 50), "{calls:?}");
--- a/src/bin/brassport/main.rs
+++ b/src/bin/brassport/main.rs
@@ -100,7 +100,7 @@
         () = signals.termination.requested() => return Ok(()),
         prepared = startup::prepare() => prepared?,
     };
-    front_door(prepared, signals).await
+    run_gateway(prepared, signals).await
 }
 
 /// How long requests in hand may take once nothing new is taken.
@@ -127,7 +127,7 @@
 }
 
 /// Serves until it is told to end and nothing is in hand.
-async fn front_door(prepared: Prepared, signals: Signals) -> Result<(), String> {
+async fn run_gateway(prepared: Prepared, signals: Signals) -> Result<(), String> {
     let Prepared { config, listener, listening_since, descriptors, discovery } = prepared;
     let Signals { hangups, mut termination } = signals;
     let closing = closing_time(&config.settings);
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -6,11 +6,11 @@
 use springusher::*;
 
 /// Asks at `rate` a second for `seconds`, with the meter telling `used`, and returns how many went out.
-fn ask_for(host: &mut Host, rate: f64, seconds: f64, class: usize, quota_usage: f64) -> f64 {
+fn ask_for(host: &mut TestHost, rate: f64, seconds: f64, class: usize, quota_usage: f64) -> f64 {
     let mut sent = 0.0;
     for _ in 0..(rate * seconds) as u32 {
         host.now += 1000.0 / rate;
-        let (id, actions) = host.ask(1, 0, class);
+        let (id, actions) = host.new_request(1, 0, class);
         if !sends(&actions).is_empty() {
             sent += 1.0;
             host.end(id, 0, Outcome::Ok, Some(quota_usage));
@@ -21,21 +21,21 @@
 
 #[test]
 fn a_customer_within_its_quota_is_never_refused() {
-    let mut host = Host::new(settings(), &[server(1)]);
+    let mut host = TestHost::new(settings(), &[server(1)]);
     assert_eq!(ask_for(&mut host, 5.0, 20.0, 0, 0.5), 100.0);
 }
 
 /// Asks every 25 ms for 30 s, classes in turn, under a meter that sums half seconds up and tells of each
 /// one period later; returns how many of each class went out in the last 20 s.
 fn ask_four_times_the_quota(classes: &[usize]) -> Vec<f64> {
-    let mut host = Host::new(settings(), &[server(1)]);
+    let mut host = TestHost::new(settings(), &[server(1)]);
     let mut periods = [0.0; 62];
     let mut sent = vec![0.0; 3];
     for step in 0..1200 {
         host.now += 25.0;
         let period = (host.now / 500.0) as usize;
         let class = classes[step % classes.len()];
-        let (id, actions) = host.ask(1, 0, class);
+        let (id, actions) = host.new_request(1, 0, class);
         if !sends(&actions).is_empty() {
             periods[period] += 1.0;
             sent[class] += f64::from(u8::from(host.now > 10_000.0));
@@ -53,7 +53,7 @@
 
 #[test]
 fn what_others_send_counts_against_the_quota() {
-    let mut host = Host::new(settings(), &[server(1)]);
+    let mut host = TestHost::new(settings(), &[server(1)]);
     ask_for(&mut host, 10.0, 10.0, 0, 4.0);
     let sent = ask_for(&mut host, 10.0, 20.0, 0, 4.0);
     assert!(sent < 100.0, "{sent} of 200 sent on though others use four times the quota");
@@ -62,7 +62,7 @@
 
 #[test]
 fn without_a_meter_the_local_store_holds_the_quota() {
-    let mut host = Host::new(Settings { meter_period: 0.0, ..settings() }, &[server(1)]);
+    let mut host = TestHost::new(Settings { meter_period: 0.0, ..settings() }, &[server(1)]);
     let (plan, sent) = (settings().plans[0], ask_for(&mut host, 40.0, 30.0, 0, 0.0));
     let most = plan.burst + plan.rate * 30.0;
     assert!(sent <= most, "{sent} of 1200 sent on, the quota lets in {most}");
@@ -75,13 +75,13 @@
 }
 
 /// A gateway of fifty, through all of which its customers' requests come.
-fn one_of_fifty() -> Host {
+fn one_of_fifty() -> TestHost {
     let servers: Vec<_> = (1..=40).map(server).collect();
-    Host::new(Settings { gateways: 50, ..settings() }, &servers)
+    TestHost::new(Settings { gateways: 50, ..settings() }, &servers)
 }
 
 /// Such a customer asks once, and is answered at once if let in; tells whether it was.
-fn let_in(host: &mut Host, id: RequestId, customer: CustomerId, quota_usage: Option<f64>) -> bool {
+fn let_in(host: &mut TestHost, id: RequestId, customer: CustomerId, quota_usage: Option<f64>) -> bool {
     let (units, expires_in) = (1.0, 4000.0);
     let request =
         Request { id, customer, plan: 0, class: 0, units, spread: 50, expires_in, is_client_retry: false };
@@ -139,20 +139,20 @@
 
 #[test]
 fn a_retry_that_comes_past_its_aim_takes_no_quota() {
-    let mut host = Host::new(settings(), &[server(1)]);
+    let mut host = TestHost::new(settings(), &[server(1)]);
     for _ in 0..3 {
         host.now += 500.0;
-        let (id, _) = host.ask(1, 0, 0);
+        let (id, _) = host.new_request(1, 0, 0);
         host.end(id, 0, Outcome::Ok, Some(0.5));
     }
     // First tries have 4 s; one with 2.9 s left has been at it for longer than the wanted second.
-    assert!(refused(&host.ask_again(1, 0, 2900.0)));
-    assert!(!refused(&host.ask_again(1, 0, 3900.0)));
+    assert!(refused(&host.retry_request(1, 0, 2900.0)));
+    assert!(!refused(&host.retry_request(1, 0, 3900.0)));
 }
 
 #[test]
 fn a_reading_that_is_no_number_changes_nothing() {
-    let mut host = Host::new(settings(), &[server(1)]);
+    let mut host = TestHost::new(settings(), &[server(1)]);
     assert_eq!(ask_for(&mut host, 5.0, 5.0, 0, f64::NAN), 25.0);
     ask_for(&mut host, 10.0, 10.0, 0, 4.0);
     ask_for(&mut host, 10.0, 1.0, 0, f64::NAN);
@@ -164,7 +164,7 @@
 fn a_surge_is_taken_to_come_in_through_the_other_gateways_too() {
     // Two gateways share a quota of 5 units a second with a burst of 10; no reading has come yet.
     let sent = |spread: u32| {
-        let mut host = Host::new(settings(), &[server(1)]);
+        let mut host = TestHost::new(settings(), &[server(1)]);
         let mut sent = 0;
         for id in 1..=40 {
             host.now += 10.0;
@@ -192,11 +192,11 @@
 
 #[test]
 fn whom_the_coin_refuses_is_told_when_to_come_back() {
-    let mut host = Host::new(settings(), &[server(1)]);
+    let mut host = TestHost::new(settings(), &[server(1)]);
     let mut waits = Vec::new();
     for id in 1..=400 {
         host.now += 5.0;
-        for action in host.ask(1, 0, 0).1 {
+        for action in host.new_request(1, 0, 0).1 {
             match action {
                 Action::Refuse { retry_after, .. } => waits.push(retry_after),
                 Action::Send { request, .. } => drop(host.end(request, 0, Outcome::Ok, Some(4.0))),
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,9 +1,9 @@
-//! A host for the tests: it drives the public interface and keeps what came out.
+//! A host for tests of the decision module: drives the public interface and records the returned actions.
 #![allow(dead_code)]
 
 use springusher::*;
 
-pub struct Host {
+pub struct TestHost {
     pub gateway: Gateway,
     pub now: Millis,
     pub actions: Vec<Action>,
@@ -57,19 +57,19 @@
     ServerEntry { id, zone: 0, cell: 0, capacity: 1.0, lifecycle: Lifecycle::Ready, started_at: None }
 }
 
-impl Host {
-    pub fn new(settings: Settings, servers: &[ServerEntry]) -> Host {
-        Host::seeded(settings, 7, servers)
+impl TestHost {
+    pub fn new(settings: Settings, servers: &[ServerEntry]) -> TestHost {
+        TestHost::seeded(settings, 7, servers)
     }
 
-    pub fn seeded(settings: Settings, seed: u64, servers: &[ServerEntry]) -> Host {
+    pub fn seeded(settings: Settings, seed: u64, servers: &[ServerEntry]) -> TestHost {
         let gateway = Gateway::new(settings, seed, 0.0).expect("valid settings");
-        let mut host = Host { gateway, now: 0.0, actions: Vec::new(), next: 1 };
+        let mut host = TestHost { gateway, now: 0.0, actions: Vec::new(), next: 1 };
         host.event(Event::Servers { kind: ListKind::Full, entries: servers.to_vec() });
         host
     }
 
-    /// Hands over one event and returns what it led to.
+    /// Delivers one event and returns the resulting actions.
     pub fn event(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.gateway.handle(self.now, event, &mut actions);
@@ -77,14 +77,19 @@
         actions
     }
 
-    pub fn ask(&mut self, customer: CustomerId, plan: usize, class: usize) -> (RequestId, Vec<Action>) {
+    pub fn new_request(
+        &mut self,
+        customer: CustomerId,
+        plan: usize,
+        class: usize,
+    ) -> (RequestId, Vec<Action>) {
         let id = self.next;
         self.next += 1;
         (id, self.request(customer, plan, class, 4000.0, false, id))
     }
 
-    /// A client's further try with so much of its time left.
-    pub fn ask_again(&mut self, customer: CustomerId, class: usize, expires_in: Millis) -> Vec<Action> {
+    /// A client's retry with `expires_in` left until the client gives up.
+    pub fn retry_request(&mut self, customer: CustomerId, class: usize, expires_in: Millis) -> Vec<Action> {
         let id = self.next;
         self.next += 1;
         self.request(customer, 0, class, expires_in, true, id)
@@ -122,7 +127,7 @@
         }))
     }
 
-    /// Fires every timer set so far that is due by `until`, in order, and moves the clock there.
+    /// Fires every pending timer that is due by `until`, in order of time, then advances the clock to `until`.
     pub fn run_timers(&mut self, until: Millis) -> Vec<Action> {
         let mut all = Vec::new();
         loop {
--- a/tests/places.rs
+++ b/tests/concurrency_limit.rs
@@ -13,7 +13,7 @@
 
 /// The gateways and the counter between them, which answers at once.
 struct World {
-    hosts: Vec<Host>,
+    hosts: Vec<TestHost>,
     numbers: BTreeMap<CounterKey, f64>,
     calls: usize,
 }
@@ -22,7 +22,7 @@
     fn new(gateways: u32) -> World {
         let servers: Vec<_> = (1..=60).map(server).collect();
         let told = |ordinal| Settings { gateways, ordinal, counter: true, ..settings() };
-        let host = |ordinal| Host::seeded(told(ordinal), u64::from(ordinal), &servers);
+        let host = |ordinal| TestHost::seeded(told(ordinal), u64::from(ordinal), &servers);
         World { hosts: (0..gateways).map(host).collect(), numbers: BTreeMap::new(), calls: 0 }
     }
 
@@ -43,8 +43,8 @@
         all
     }
 
-    fn ask(&mut self, gateway: usize, customer: CustomerId) -> (RequestId, Vec<Action>) {
-        let (id, actions) = self.hosts[gateway].ask(customer, CAPPED, 0);
+    fn new_request(&mut self, gateway: usize, customer: CustomerId) -> (RequestId, Vec<Action>) {
+        let (id, actions) = self.hosts[gateway].new_request(customer, CAPPED, 0);
         (id, self.count(gateway, actions))
     }
 
@@ -57,7 +57,7 @@
     fn ask_all(&mut self, customer: CustomerId) -> Vec<(usize, RequestId)> {
         let mut out = Vec::new();
         for gateway in 0..self.hosts.len() {
-            let (id, actions) = self.ask(gateway, customer);
+            let (id, actions) = self.new_request(gateway, customer);
             match sends(&actions).len() {
                 0 => assert!(refused(&actions), "neither sent nor refused at once"),
                 _ => out.push((gateway, id)),
@@ -83,9 +83,9 @@
 #[test]
 fn a_refusal_for_want_of_a_place_says_when_one_may_be_free() {
     let mut world = World::new(GATEWAYS);
-    world.ask(0, 1);
-    world.ask(1, 1);
-    let (id, actions) = world.ask(2, 1);
+    world.new_request(0, 1);
+    world.new_request(1, 1);
+    let (id, actions) = world.new_request(2, 1);
     let wait = actions.iter().find_map(|action| match action {
         Action::Refuse { request, retry_after, .. } if *request == id => Some(*retry_after),
         _ => None,
@@ -97,7 +97,7 @@
 fn a_place_is_given_back_once_however_a_request_ends() {
     for outcome in [Outcome::Ok, Outcome::Error, Outcome::NoConnection, Outcome::TimedOut] {
         let mut world = World::new(2);
-        let (id, actions) = world.ask(0, 1);
+        let (id, actions) = world.new_request(0, 1);
         assert_eq!(sends(&actions).len(), 1);
         let mut attempt = 0;
         loop {
@@ -126,8 +126,8 @@
 #[test]
 fn without_word_from_the_counter_requests_go_on() {
     for result in [AddResult::NotAdded, AddResult::Unknown] {
-        let mut host = Host::seeded(Settings { counter: true, ..settings() }, 7, &[server(1)]);
-        let (id, actions) = host.ask(1, CAPPED, 0);
+        let mut host = TestHost::seeded(Settings { counter: true, ..settings() }, 7, &[server(1)]);
+        let (id, actions) = host.new_request(1, CAPPED, 0);
         let [Action::Timer { .. }, Action::AddToCounter { key, .. }] = actions[..] else {
             panic!("{actions:?}")
         };
@@ -145,8 +145,8 @@
 
 #[test]
 fn a_client_that_leaves_while_its_place_is_asked_for_takes_none() {
-    let mut host = Host::seeded(Settings { counter: true, ..settings() }, 7, &[server(1)]);
-    let (id, actions) = host.ask(1, CAPPED, 0);
+    let mut host = TestHost::seeded(Settings { counter: true, ..settings() }, 7, &[server(1)]);
+    let (id, actions) = host.new_request(1, CAPPED, 0);
     let [_, Action::AddToCounter { key, .. }] = actions[..] else { panic!("{actions:?}") };
     host.event(Event::ClientDisconnected(id));
     let actions = host.event(Event::CounterAnswer { key, result: AddResult::Total(1.0) });
@@ -158,8 +158,8 @@
 // as the longest deadline.
 #[test]
 fn a_place_that_the_counter_does_not_take_back_is_given_back_soon() {
-    let mut host = Host::seeded(Settings { counter: true, ..settings() }, 7, &[server(1)]);
-    let (id, actions) = host.ask(1, CAPPED, 0);
+    let mut host = TestHost::seeded(Settings { counter: true, ..settings() }, 7, &[server(1)]);
+    let (id, actions) = host.new_request(1, CAPPED, 0);
     let [_, Action::AddToCounter { key, .. }] = actions[..] else { panic!("{actions:?}") };
     host.event(Event::CounterAnswer { key, result: AddResult::Total(1.0) });
     let gives_back =
@@ -180,7 +180,7 @@
 fn plans_without_a_cap_cost_no_call() {
     let mut world = World::new(GATEWAYS);
     for gateway in 0..world.hosts.len() {
-        let (id, actions) = world.hosts[gateway].ask(1, 3, 0);
+        let (id, actions) = world.hosts[gateway].new_request(1, 3, 0);
         world.count(gateway, actions);
         world.end(gateway, id);
     }
@@ -221,8 +221,8 @@
 
 #[test]
 fn a_place_that_is_taken_again_behind_its_requests_end_is_given_back() {
-    let mut host = Host::seeded(Settings { counter: true, ..settings() }, 7, &[server(1)]);
-    let (id, actions) = host.ask(1, CAPPED, 0);
+    let mut host = TestHost::seeded(Settings { counter: true, ..settings() }, 7, &[server(1)]);
+    let (id, actions) = host.new_request(1, CAPPED, 0);
     let [_, Action::AddToCounter { key, .. }] = actions[..] else { panic!("{actions:?}") };
     host.event(Event::CounterAnswer { key, result: AddResult::Total(1.0) });
     let again = host.event(Event::CounterReplaced);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -20,8 +20,8 @@
 }
 
 /// A hundred gateways that know the same servers.
-fn fleet(servers: &[ServerEntry]) -> Vec<Host> {
-    (0..GATEWAYS).map(|ordinal| Host::seeded(told(ordinal), u64::from(ordinal), servers)).collect()
+fn fleet(servers: &[ServerEntry]) -> Vec<TestHost> {
+    (0..GATEWAYS).map(|ordinal| TestHost::seeded(told(ordinal), u64::from(ordinal), servers)).collect()
 }
 
 /// Server numbers as names give them: without order.
@@ -31,12 +31,12 @@
 
 /// Each gateway in turn sends one request after another, `rounds` times, with one in hand; counts the sends
 /// of each gateway to each server.
-fn send_all(fleet: &mut [Host], rounds: usize) -> BTreeMap<(u32, ServerId), usize> {
+fn send_all(fleet: &mut [TestHost], rounds: usize) -> BTreeMap<(u32, ServerId), usize> {
     let mut sent = BTreeMap::new();
     for _ in 0..rounds {
         for (gateway, host) in (0..).zip(fleet.iter_mut()) {
             host.now += 200.0;
-            let (request, actions) = host.ask(1, 3, 0);
+            let (request, actions) = host.new_request(1, 3, 0);
             for server in sends(&actions) {
                 *sent.entry((gateway, server)).or_insert(0) += 1;
             }
@@ -84,7 +84,7 @@
 #[test]
 fn few_gateways_use_every_server() {
     let servers: Vec<_> = (0..12).map(|n| server(id(n))).collect();
-    let mut host = Host::new(settings(), &servers);
+    let mut host = TestHost::new(settings(), &servers);
     let sent = send_all(std::slice::from_mut(&mut host), 300);
     assert_eq!(servers_of(&sent, 0).len(), 12);
 }
@@ -95,9 +95,9 @@
     let told = |ordinal| Settings { may_duplicate: true, ..told(ordinal) };
     let (mut first, mut all) = (0, 0);
     for ordinal in 0..GATEWAYS {
-        let mut host = Host::seeded(told(ordinal), u64::from(ordinal), &servers);
+        let mut host = TestHost::seeded(told(ordinal), u64::from(ordinal), &servers);
         for _ in 0..100 {
-            let (request, actions) = host.ask(1, 3, 0);
+            let (request, actions) = host.new_request(1, 3, 0);
             let out = sends(&actions).len();
             first += out;
             // Longer than anyone is patient, and still in time.
--- a/tests/front_door/backends.rs
+++ b/tests/gateway_process/backends.rs
@@ -11,7 +11,7 @@
 #[test]
 fn serves_the_backends_answer_unchanged() {
     let backend = Peer::start();
-    let front = Front::before(&[backend.address]);
+    let front = GatewayProcess::before(&[backend.address]);
     let mut client = front.client();
     let job = post("a job").replace("/job-submit", "/job-submit/7?a=b%20c");
     client.send(&job.replace("Plan:", "Connection: X-Hop\r\nX-Hop: 1\r\nPlan:"));
@@ -46,11 +46,11 @@
         "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
     ] {
         let backends = [Peer::start(), Peer::start()];
-        let front = Front::before(&[backends[0].address, backends[1].address]);
+        let front = GatewayProcess::before(&[backends[0].address, backends[1].address]);
         let mut client = front.client();
         client.send(&post("once"));
         let first = next_of(&backends).0;
-        first.break_off(bytes);
+        first.send_and_close(bytes);
         assert_eq!(client.read().status(), 504, "after {bytes:?}");
         // The marker is the next that any backend sees.
         client.send(&post("marker"));
@@ -64,7 +64,7 @@
 #[test]
 fn what_was_turned_away_goes_elsewhere() {
     let backends = [Peer::start(), Peer::start()];
-    let front = Front::before(&[backends[0].address, backends[1].address]);
+    let front = GatewayProcess::before(&[backends[0].address, backends[1].address]);
     let mut client = front.client();
     client.send(&post("a job"));
     let (exchange, first) = next_of(&backends);
@@ -78,7 +78,7 @@
 
 #[test]
 fn what_could_not_connect_was_never_sent() {
-    let front = Front::before(&[closed_port()]);
+    let front = GatewayProcess::before(&[closed_port()]);
     // Only a refusal, and no failure, says that nothing ran.
     assert_eq!(front.client().send(&post("a job")).read().status(), 429);
 }
@@ -86,11 +86,11 @@
 #[test]
 fn an_idle_connection_that_the_backend_closed_costs_no_request() {
     let backend = Peer::start();
-    let front = Front::before(&[backend.address]);
+    let front = GatewayProcess::before(&[backend.address]);
     let mut client = front.client();
     for _ in 0..3 {
         client.send(&post("a job"));
-        backend.next().break_off("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
+        backend.next().send_and_close("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
         assert_eq!(client.read().status(), 200);
     }
 }
@@ -98,7 +98,7 @@
 #[test]
 fn a_spoilt_answer_may_have_run_and_its_connection_is_of_no_further_use() {
     let backend = Peer::start();
-    let front = Front::before(&[backend.address]);
+    let front = GatewayProcess::before(&[backend.address]);
     let endless = format!("HTTP/1.1 200 OK\r\nX-Long: {}", "x".repeat(64 * 1024));
     let mut port = 0;
     for spoilt in [
@@ -125,7 +125,7 @@
 #[test]
 fn what_comes_behind_an_answer_is_nobodys() {
     let backend = Peer::start();
-    let front = Front::before(&[backend.address]);
+    let front = GatewayProcess::before(&[backend.address]);
     let answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
     let mut client = front.client();
     for behind in ["", answer, "noise"] {
@@ -149,7 +149,7 @@
 #[test]
 fn at_the_deadline_the_client_is_told_and_the_attempts_socket_closed() {
     let backend = Peer::start();
-    let front = Front::before(&[backend.address]);
+    let front = GatewayProcess::before(&[backend.address]);
     let mut client = front.client();
     let asked = Instant::now();
     client.send(&post("a job").replace("4000m", "300000u"));
@@ -162,7 +162,7 @@
 #[test]
 fn an_attempts_socket_is_closed_before_the_next_attempt_goes_out() {
     let backends = [Peer::start(), Peer::start()];
-    let front = Front::before(&[backends[0].address, backends[1].address]);
+    let front = GatewayProcess::before(&[backends[0].address, backends[1].address]);
     let mut client = front.client();
     client.send(&get(""));
     let (mut silent, first) = next_of(&backends);
@@ -177,7 +177,7 @@
 
 #[test]
 fn a_keyed_request_is_not_repeated_on_a_connection_that_comes_up_when_its_window_is_over() {
-    let (backend, stuck) = (Peer::start(), Stuck::start());
+    let (backend, stuck) = (Peer::start(), FullBacklogPeer::start());
     let mut far = target("s-00000002", stuck.address, "ready");
     // Of two that are alike the one in the own zone comes first.
     far["az"] = json!("b");
@@ -187,10 +187,10 @@
     let class = &mut config["settings"]["classes"][1];
     (class["semantics"], class["dedupWindow"]) = (json!("guarded"), json!(1500.0));
     (class["slo"], class["deadline"]) = (json!(12_000.0), json!(12_000.0));
-    let front = Front::start(&config);
+    let front = GatewayProcess::start(&config);
     let mut client = front.client();
     client.send(&post("a job").replace("4000m", "12000m").replace("Host:", "Idempotency-Key: 7\r\nHost:"));
-    backend.next().break_off("");
+    backend.next().send_and_close("");
     stuck.wait_for_connect();
     thread::sleep(Duration::from_millis(1600));
     // Servers have forgotten the key by now.
@@ -201,7 +201,7 @@
 #[test]
 fn what_a_backend_finds_fault_with_is_sent_to_no_other() {
     let backends = [Peer::start(), Peer::start()];
-    let front = Front::before(&[backends[0].address, backends[1].address]);
+    let front = GatewayProcess::before(&[backends[0].address, backends[1].address]);
     for status in ["400 Bad Request", "404 Not Found", "413 Payload Too Large"] {
         let mut client = front.client();
         client.send(&get("/odd"));
--- a/tests/front_door/clients.rs
+++ b/tests/gateway_process/clients.rs
@@ -17,7 +17,7 @@
 fn refuses_at_once_and_says_when_to_come_back() {
     let backend = Peer::start();
     let known = list(&[target("s-00000001", backend.address, "draining")]);
-    let front = Front::start(&config(closed_port(), known));
+    let front = GatewayProcess::start(&config(closed_port(), known));
     let asked = Instant::now();
     let answer = front.client().send(&get("")).read();
     assert_eq!(answer.status(), 429);
@@ -27,10 +27,10 @@
 
 #[test]
 fn nothing_is_sent_for_a_client_that_has_gone() {
-    let stuck = Stuck::start();
+    let stuck = FullBacklogPeer::start();
     let mut config = config(closed_port(), list(&[target("s-00000001", stuck.address, "ready")]));
     config["settings"]["bounds"]["connectTimeout"] = json!(30_000.0);
-    let front = Front::start(&config);
+    let front = GatewayProcess::start(&config);
     let mut client = front.client();
     client.send(&post("a job"));
     stuck.wait_for_connect();
@@ -40,10 +40,10 @@
 
 #[test]
 fn a_leave_is_noticed_behind_bytes_of_further_requests() {
-    let stuck = Stuck::start();
+    let stuck = FullBacklogPeer::start();
     let mut config = config(closed_port(), list(&[target("s-00000001", stuck.address, "ready")]));
     config["settings"]["bounds"]["connectTimeout"] = json!(30_000.0);
-    let front = Front::start(&config);
+    let front = GatewayProcess::start(&config);
     let mut client = front.client();
     // More comes with the request, and more again while it waits for its connection.
     client.send(&(post("a job") + &get("/next")[..40]));
@@ -56,10 +56,10 @@
 
 #[test]
 fn a_leave_is_noticed_behind_many_bytes_of_further_requests() {
-    let stuck = Stuck::start();
+    let stuck = FullBacklogPeer::start();
     let mut config = config(closed_port(), list(&[target("s-00000001", stuck.address, "ready")]));
     config["settings"]["bounds"]["connectTimeout"] = json!(30_000.0);
-    let front = Front::start(&config);
+    let front = GatewayProcess::start(&config);
     let mut client = front.client();
     client.send(&(post("a job") + &get("/next").repeat(200)));
     stuck.wait_for_connect();
@@ -73,7 +73,7 @@
     let backend = Peer::start();
     let mut config = config(closed_port(), list(&[target("s-00000001", backend.address, "ready")]));
     config["settings"]["plans"][0]["concurrency"] = json!(1);
-    let front = Front::start(&config);
+    let front = GatewayProcess::start(&config);
     let mut first = front.client();
     first.send(&post("first"));
     let in_hand = backend.next();
@@ -81,7 +81,7 @@
     let held = post("held");
     gone.send(&held);
     // It is in hand once its id is busy.
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TEST_TIMEOUT;
     while front.client().send(&held).read().status() != 409 {
         assert!(Instant::now() < until, "it never comes in hand");
     }
@@ -102,7 +102,7 @@
 fn nothing_is_sent_for_a_client_that_has_gone_while_the_counter_was_asked() {
     let (backend, counter) = (Peer::start(), TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port"));
     let address = counter.local_addr().expect("an address");
-    let front = Front::start(&capped_config(backend.address, address));
+    let front = GatewayProcess::start(&capped_config(backend.address, address));
     let mut gone = front.client();
     gone.send(&post("gone").replace("spread=1", "spread=2"));
     let (line, _) = counter.accept().expect("the front door asks");
@@ -122,7 +122,7 @@
 #[test]
 fn a_client_that_goes_while_its_request_runs_disturbs_no_other() {
     let backend = Peer::start();
-    let front = Front::before(&[backend.address]);
+    let front = GatewayProcess::before(&[backend.address]);
     let mut gone = front.client();
     gone.send(&post("gone"));
     let exchange = backend.next();
@@ -143,14 +143,14 @@
 #[test]
 fn a_crowd_that_comes_while_the_gateway_is_held_up_gets_its_answers_in_time() {
     let backend = Peer::start();
-    let front = Front::before(&[backend.address]);
+    let front = GatewayProcess::before(&[backend.address]);
     answer_all(backend);
     front.signal("-STOP");
     let began = Instant::now();
     let connect = || {
         let stream = TcpStream::connect_timeout(&front.address, Duration::from_millis(500));
         let stream = stream.expect("the queue has room");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
         Client { stream }
     };
     let mut crowd: Vec<Client> = (0..CROWD).map(|_| connect()).collect();
@@ -169,7 +169,7 @@
 #[test]
 fn malformed_input_gets_400_and_reaches_no_backend() {
     let backend = Peer::start();
-    let front = Front::before(&[backend.address]);
+    let front = GatewayProcess::before(&[backend.address]);
     let good = get("");
     let spoilt = [
         ("X-Class: preview-fetch", "X-Class: nothing"),
@@ -227,7 +227,7 @@
 #[test]
 fn the_host_of_a_request_line_in_absolute_form_replaces_the_header() {
     let backend = Peer::start();
-    let front = Front::before(&[backend.address]);
+    let front = GatewayProcess::before(&[backend.address]);
     let mut client = front.client();
     client.send(&get("/1?a=b").replace("GET /", "GET http://other.local/"));
     let exchange = backend.next();
@@ -242,7 +242,7 @@
     let backend = Peer::start();
     let mut config = config(closed_port(), list(&[target("s-00000001", backend.address, "ready")]));
     config["limits"]["sockets"] = json!(48);
-    let front = Front::start(&config);
+    let front = GatewayProcess::start(&config);
     let serve = |client: &mut Client| {
         client.send(&get(""));
         backend.next().ok("served");
@@ -274,7 +274,7 @@
     let config = config(closed_port(), list(&[target("s-00000001", backend.address, "ready")]));
     let file = write_config(&config);
     let child = spawn_with_descriptors(100, &file, &config);
-    let front = Front::listening(child, &config, file);
+    let front = GatewayProcess::listening(child, &config, file);
     let _served = answer_all(backend);
     let mut idle = Vec::new();
     for _ in 0..120 {
@@ -295,7 +295,7 @@
     let mut config = config(closed_port(), list(&targets));
     // Far more than are used here, but for those of a few clients.
     config["limits"]["sockets"] = json!(112);
-    let front = Front::start(&config);
+    let front = GatewayProcess::start(&config);
     let mut clients: Vec<Client> = (0..12).map(|_| front.client()).collect();
     let asked: Vec<Exchange> = clients
         .iter_mut()
@@ -320,7 +320,7 @@
 #[test]
 fn a_request_hidden_in_anothers_body_goes_nowhere() {
     let backend = Peer::start();
-    let front = Front::before(&[backend.address]);
+    let front = GatewayProcess::before(&[backend.address]);
     let hidden = get("/hidden");
     let chunked = format!("0\r\n\r\n{hidden}");
     let length = chunked.len();
@@ -346,7 +346,7 @@
 #[test]
 fn an_id_is_busy_until_its_last_attempt_has_ended() {
     let backend = Peer::start();
-    let front = Front::before(&[backend.address]);
+    let front = GatewayProcess::before(&[backend.address]);
     let mut first = front.client();
     let job = post("a job");
     first.send(&job);
@@ -356,7 +356,7 @@
     drop(first);
     assert_eq!(front.client().send(&job).read().status(), 409);
     exchange.ok("for nobody");
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TEST_TIMEOUT;
     let again = loop {
         let mut client = front.client();
         client.send(&job);
@@ -376,7 +376,7 @@
     let mut config = config(closed_port(), list(&[target("s-00000001", backend.address, "ready")]));
     config["settings"]["classes"][0]["name"] = json!("menü-olvasás");
     config["settings"]["plans"][0]["name"] = json!("diák bérlet");
-    let front = Front::start(&config);
+    let front = GatewayProcess::start(&config);
     let mut client = front.client();
     let asked = get("/7").replace("X-Class: preview-fetch", "X-Class: menü-olvasás");
     let asked = asked.replace("Plan: starter", "Plan: diák bérlet");
@@ -399,7 +399,7 @@
     // What the settings do not say of a key is taken at its worst: nothing is dropped, nothing repeated.
     class.remove("group");
     class.remove("dedupWindow");
-    let front = Front::start(&config);
+    let front = GatewayProcess::start(&config);
     assert_eq!(front.client().send(&post("a job")).read().status(), 400);
     let keyed = post("a job").replace("Host:", "Idempotency-Key: 7\r\nHost:");
     let twice = keyed.replace("Host:", "Idempotency-Key: 8\r\nHost:");
@@ -408,7 +408,7 @@
     client.send(&keyed);
     let exchange = backend.next();
     assert_eq!(exchange.request.header("idempotency-key"), "7");
-    exchange.break_off("");
+    exchange.send_and_close("");
     assert_eq!(client.read().status(), 504);
     assert!(backend.exchanges.try_recv().is_err(), "it was sent once");
 }
@@ -416,7 +416,7 @@
 #[test]
 fn who_does_not_finish_asking_is_sent_away_in_time() {
     let backend = Peer::start();
-    let front = Front::before(&[backend.address]);
+    let front = GatewayProcess::before(&[backend.address]);
     let mut kept = front.client();
     kept.send(&get(""));
     backend.next().ok("served");
@@ -448,7 +448,7 @@
 
 #[test]
 fn what_is_too_long_is_refused_before_it_has_come_and_the_answer_is_not_lost() {
-    let front = Front::before(&[closed_port()]);
+    let front = GatewayProcess::before(&[closed_port()]);
     let long = 60 << 20;
     let mut client = front.client();
     client.send(&post("").replace("Content-Length: 0", &format!("Content-Length: {long}")));
@@ -473,7 +473,7 @@
 #[test]
 fn headers_that_say_what_is_asked_cannot_be_named_as_ones_of_the_connection_alone() {
     let backend = Peer::start();
-    let front = Front::before(&[backend.address]);
+    let front = GatewayProcess::before(&[backend.address]);
     for name in ["X-Request-Id", "idempotency-key", "X-Deadline"] {
         let mut client = front.client();
         let request = get("").replace("\r\n\r\n", &format!("\r\nConnection: keep-alive, {name}\r\n\r\n"));
@@ -485,7 +485,7 @@
 #[test]
 fn a_pipelined_request_has_the_time_left_that_remains_since_it_came() {
     let backend = Peer::start();
-    let front = Front::before(&[backend.address]);
+    let front = GatewayProcess::before(&[backend.address]);
     let mut client = front.client();
     let hurried = get("/second").replace("4000m", "900m");
     client.send(&format!("{}{}{hurried}", get("/first"), get("/second")));
--- a/tests/front_door/clocks.rs
+++ b/tests/gateway_process/clocks.rs
@@ -21,13 +21,13 @@
     let discovery = Discovery::start(known.clone());
     let mut config = config(discovery.address, known);
     config["settings"]["rules"]["cold"] = json!(cold.as_millis() as f64);
-    let faulty = Faulty::new();
+    let faulty = FaultInjection::new();
     let front = faulty.start(&config);
     discovery.wait_for_watch();
     faulty.control.set(Faults { wall_clock_offset: step, ..Faults::default() });
     let mut started: Value = target("s-00000002", new.address, "ready");
     started["boot_ms"] = json!(unix_ms() + step);
-    discovery.tell(json!([started]));
+    discovery.push_targets(json!([started]));
     thread::sleep(runs_for);
     let (old, new) = (answer_all(old), answer_all(new));
     let mut client = front.client();
@@ -64,7 +64,7 @@
     let known = list(&[target("s-00000001", old.address, "ready"), started]);
     let mut config = config(closed_port(), known);
     config["settings"]["rules"]["cold"] = json!(60_000.0);
-    let faulty = Faulty::new();
+    let faulty = FaultInjection::new();
     faulty.control.set(Faults { wall_clock_offset: HOUR, ..Faults::default() });
     let front = faulty.start(&config);
     let (old, new) = (answer_all(old), answer_all(new));
@@ -84,13 +84,13 @@
     started["boot_ms"] = json!(unix_ms());
     let known = list(&[target("s-00000001", old.address, "ready"), started]);
     let (old, new) = (answer_all(old), answer_all(new));
-    let processes: Vec<(Faulty, Front)> = (0..3)
+    let processes: Vec<(FaultInjection, GatewayProcess)> = (0..3)
         .map(|ordinal| {
             let mut config = config(closed_port(), known.clone());
             config["settings"]["rules"]["cold"] = json!(60_000.0);
             config["settings"]["balancers"] = json!(3);
             config["settings"]["ordinal"] = json!(ordinal);
-            let faulty = Faulty::new();
+            let faulty = FaultInjection::new();
             faulty.control.set(Faults { wall_clock_offset: HOUR, ..Faults::default() });
             let front = faulty.start(&config);
             (faulty, front)
--- a/tests/front_door/counter.rs
+++ b/tests/gateway_process/counter.rs
@@ -36,12 +36,12 @@
 }
 
 #[test]
-fn what_other_front_doors_have_out_counts_against_a_cap() {
+fn attempts_in_flight_at_other_gateways_count_against_the_concurrency_limit() {
     let backend = Peer::start();
     let (address, calls) = counter(&[&[1, 0, 3, 2]]);
-    let front = Front::start(&capped_config(backend.address, address));
+    let front = GatewayProcess::start(&capped_config(backend.address, address));
     let mut client = front.client();
-    let call = || calls.recv_timeout(PATIENCE).expect("a call");
+    let call = || calls.recv_timeout(TEST_TIMEOUT).expect("a call");
     let asked = get("").replace("spread=1", "spread=2");
     client.send(&asked);
     let entered = call();
@@ -61,9 +61,9 @@
 fn a_counter_that_ends_an_idle_connection_is_asked_again_at_once() {
     let backend = Peer::start();
     let (address, calls) = counter(&[&[1, 0], &[3, 2]]);
-    let front = Front::start(&capped_config(backend.address, address));
+    let front = GatewayProcess::start(&capped_config(backend.address, address));
     let mut client = front.client();
-    let call = || calls.recv_timeout(PATIENCE).expect("a call");
+    let call = || calls.recv_timeout(TEST_TIMEOUT).expect("a call");
     let asked = || get("").replace("spread=1", "spread=2");
     client.send(&asked());
     call();
@@ -86,7 +86,7 @@
         config["settings"]["balancers"] = json!(2);
         config["settings"]["plans"][0]["concurrency"] = json!(2);
         config["settings"]["familyInfo"]["counter"] = json!(true);
-        let front = Front::start(&config);
+        let front = GatewayProcess::start(&config);
         let mut client = front.client();
         client.send(&get("").replace("spread=1", "spread=2"));
         backend.next().ok("served");
@@ -103,10 +103,10 @@
     let (old_address, old_calls) = counter(&[&[1]]);
     let (new_address, new_calls) = counter(&[&[1, 0]]);
     let mut config = capped_config(backend.address, old_address);
-    let front = Front::start(&config);
+    let front = GatewayProcess::start(&config);
     let mut client = front.client();
     client.send(&get("").replace("spread=1", "spread=2"));
-    let entered = old_calls.recv_timeout(PATIENCE).expect("a call");
+    let entered = old_calls.recv_timeout(TEST_TIMEOUT).expect("a call");
     let exchange = backend.next();
     config["counter"] = json!(new_address.to_string());
     std::fs::write(&front.file, config.to_string()).expect("the file is replaced");
@@ -115,6 +115,6 @@
     thread::sleep(Duration::from_millis(300));
     exchange.ok("served");
     assert_eq!(client.read().status(), 200);
-    let call = || new_calls.recv_timeout(PATIENCE).expect("a call");
+    let call = || new_calls.recv_timeout(TEST_TIMEOUT).expect("a call");
     assert_eq!((call(), call()), (entered.clone(), entered.replace(" 1 ", " -1 ")));
 }
--- a/tests/front_door/discovery.rs
+++ b/tests/gateway_process/discovery.rs
@@ -13,10 +13,10 @@
 fn healthz_tells_whether_it_can_serve() {
     let discovery = Discovery::start(list(&[]));
     let backend = Peer::start();
-    let front = Front::start(&config(discovery.address, list(&[])));
+    let front = GatewayProcess::start(&config(discovery.address, list(&[])));
     let ask = "GET /healthz HTTP/1.1\r\nHost: backend.local\r\n\r\n";
     assert_eq!(front.client().send(ask).read().status(), 503);
-    discovery.tell(json!([target("s-00000001", backend.address, "ready")]));
+    discovery.push_targets(json!([target("s-00000001", backend.address, "ready")]));
     assert_eq!(front.client().send(ask).read().status(), 200);
 }
 
@@ -28,8 +28,8 @@
         target("s-00000002", backends[1].address, "ready"),
     ]);
     let discovery = Discovery::start(both.clone());
-    let front = Front::start(&config(discovery.address, both));
-    discovery.tell(json!([target("s-00000001", backends[0].address, "draining")]));
+    let front = GatewayProcess::start(&config(discovery.address, both));
+    discovery.push_targets(json!([target("s-00000001", backends[0].address, "draining")]));
     let mut client = front.client();
     for _ in 0..6 {
         client.send(&get(""));
@@ -42,16 +42,16 @@
 
 #[test]
 fn an_attempt_still_connecting_when_its_backend_drains_is_not_sent() {
-    let stuck = Stuck::start();
+    let stuck = FullBacklogPeer::start();
     let known = list(&[target("s-00000001", stuck.address, "ready")]);
     let discovery = Discovery::start(known.clone());
     let mut config = config(discovery.address, known);
     config["settings"]["bounds"]["connectTimeout"] = json!(30_000.0);
-    let front = Front::start(&config);
+    let front = GatewayProcess::start(&config);
     let mut client = front.client();
     client.send(&post("a job"));
     stuck.wait_for_connect();
-    discovery.tell(json!([target("s-00000001", stuck.address, "draining")]));
+    discovery.push_targets(json!([target("s-00000001", stuck.address, "draining")]));
     let reader = thread::spawn(move || client.read().status());
     assert_eq!(String::from_utf8_lossy(&stuck.open()), "");
     assert_eq!(reader.join().expect("an answer"), 429);
@@ -61,8 +61,10 @@
 fn a_silent_discovery_disturbs_nothing_and_is_asked_anew() {
     let backend = Peer::start();
     let silent = Peer::start();
-    let front =
-        Front::start(&config(silent.address, list(&[target("s-00000001", backend.address, "ready")])));
+    let front = GatewayProcess::start(&config(
+        silent.address,
+        list(&[target("s-00000001", backend.address, "ready")]),
+    ));
     let mut call = silent.next();
     assert_eq!(call.request.line, "GET /v1/servers HTTP/1.1");
     let mut client = front.client();
@@ -86,7 +88,7 @@
 fn changes_to_another_list_than_the_one_held_are_not_taken_for_changes_to_it() {
     let (backend, agent) = (Peer::start(), Peer::start());
     let held = list(&[target("s-00000001", backend.address, "ready")]);
-    let front = Front::start(&config(agent.address, held.clone()));
+    let front = GatewayProcess::start(&config(agent.address, held.clone()));
     let mut whole = held;
     whole["rev"] = json!(41);
     let call = agent.next();
@@ -113,7 +115,7 @@
     let (backend, new, busy) = (Peer::start(), Peer::start(), Peer::start());
     let mut config = config(busy.address, list(&[target("s-00000001", backend.address, "ready")]));
     config["settings"]["registryMode"] = json!("on_request");
-    let front = Front::start(&config);
+    let front = GatewayProcess::start(&config);
     // Turned away, it asks again for no more than it lacks.
     for _ in 0..3 {
         let call = busy.next();
@@ -133,7 +135,7 @@
 fn sighup_moves_the_watch_to_the_new_files_discovery() {
     let (backend, first, second) = (Peer::start(), Peer::start(), Peer::start());
     let mut config = config(first.address, list(&[target("s-00000001", backend.address, "ready")]));
-    let mut front = Front::start_with(&config, Stdio::piped());
+    let mut front = GatewayProcess::start_with(&config, Stdio::piped());
     let mut log = BufReader::new(front.child.stderr.take().expect("a pipe"));
     first.next().ok(&list(&[target("s-00000001", backend.address, "ready")]).to_string());
     let mut old = first.next();
@@ -179,12 +181,12 @@
         let (backend, new, agent) = (Peer::start(), Peer::start(), Peer::start());
         let mut config = config(agent.address, list(&[target("s-00000001", backend.address, "ready")]));
         config["settings"]["registryMode"] = json!(mode);
-        let front = Front::start(&config);
-        agent.next().break_off("");
+        let front = GatewayProcess::start(&config);
+        agent.next().send_and_close("");
         agent.next().answer("500 Internal Server Error", "", "{}");
         agent.next().answer("200 OK", "", "no list");
-        agent.next().break_off("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{\"rev\":9,");
-        agent.next().break_off("\u{1}\u{2}noise\r\n\r\n");
+        agent.next().send_and_close("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{\"rev\":9,");
+        agent.next().send_and_close("\u{1}\u{2}noise\r\n\r\n");
         // One whose answer never ends is given up.
         let mut slow = agent.next();
         slow.stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{").expect("a part goes out");
@@ -202,7 +204,7 @@
 #[test]
 fn a_list_of_3200_backends_may_come_indented() {
     let (backend, agent) = (Peer::start(), Peer::start());
-    let front = Front::start(&config(agent.address, list(&[])));
+    let front = GatewayProcess::start(&config(agent.address, list(&[])));
     let state = |n: u32| if n == 2700 { "ready" } else { "draining" };
     let targets: Vec<_> =
         (0..3200).map(|n| target(&format!("s-{n:08x}"), backend.address, state(n))).collect();
@@ -217,16 +219,16 @@
 fn the_log_tells_when_discovery_is_lost_and_when_it_is_back() {
     let (backend, agent) = (Peer::start(), Peer::start());
     let known = list(&[target("s-00000001", backend.address, "ready")]);
-    let mut front = Front::start_with(&config(agent.address, known.clone()), Stdio::piped());
+    let mut front = GatewayProcess::start_with(&config(agent.address, known.clone()), Stdio::piped());
     let log = BufReader::new(front.child.stderr.take().expect("a pipe"));
     let mut lines = log.lines().map(|line| line.expect("a line"));
     agent.next().ok(&known.to_string());
-    next_list_call(&agent).break_off("");
+    next_list_call(&agent).send_and_close("");
     assert!(lines
         .next()
         .expect("a line")
         .starts_with("brassport: discovery is lost: the connection broke; revision held 1, "));
-    next_list_call(&agent).break_off("");
+    next_list_call(&agent).send_and_close("");
     let mut later = known;
     later["rev"] = json!(7);
     next_list_call(&agent).ok(&later.to_string());
@@ -236,11 +238,11 @@
 }
 
 /// A gateway with one server, a grace of 1 s for drains, and an agent that has told it the list and holds its watch open.
-fn watched(backend: &Peer, agent: &Peer) -> (Front, Exchange) {
+fn watched(backend: &Peer, agent: &Peer) -> (GatewayProcess, Exchange) {
     let known = list(&[target("s-00000001", backend.address, "ready")]);
     let mut config = config(agent.address, known.clone());
     config["settings"]["rules"]["stopSendingWithin"] = json!(1000.0);
-    let front = Front::start(&config);
+    let front = GatewayProcess::start(&config);
     agent.next().ok(&known.to_string());
     let watch = agent.next();
     assert_eq!(watch.request.line, "GET /v1/servers?after=1&wait_ms=400 HTTP/1.1");
@@ -277,7 +279,7 @@
         }
     });
     answer_all(backend);
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TEST_TIMEOUT;
     while client.send(&get("")).read().status() != 200 {
         assert!(Instant::now() < until, "the list is not back");
         thread::sleep(Duration::from_millis(20));
@@ -294,7 +296,7 @@
     config["settings"]["rules"]["stopSendingWithin"] = json!(1000.0);
     let file = write_config(&config);
     std::fs::write(&file, &config.to_string()[..99]).expect("the file is cut short");
-    let starting = Starting::spawn(&file, &config);
+    let starting = StartingGateway::spawn(&file, &config);
     agent.next().ok(&known.to_string());
     let drains = [target("s-00000001", backend.address, "draining")];
     next_list_call(&agent).ok(&json!({"rev": 2, "all": false, "targets": drains}).to_string());
@@ -319,7 +321,7 @@
     config["settings"]["rules"]["stopSendingWithin"] = json!(1000.0);
     let file = write_config(&config);
     std::fs::write(&file, &config.to_string()[..99]).expect("the file is cut short");
-    let starting = Starting::spawn(&file, &config);
+    let starting = StartingGateway::spawn(&file, &config);
     agent.next().ok(&list(&[target("s-00000001", backend.address, "ready")]).to_string());
     let _watch = agent.next();
     std::fs::write(&file, config.to_string()).expect("the file is whole");
@@ -332,7 +334,10 @@
 #[test]
 fn nothing_is_sent_by_the_list_in_the_file_before_the_agents_first_word() {
     let (backend, agent) = (Peer::start(), Peer::start());
-    let front = Front::start(&config(agent.address, list(&[target("s-00000001", backend.address, "ready")])));
+    let front = GatewayProcess::start(&config(
+        agent.address,
+        list(&[target("s-00000001", backend.address, "ready")]),
+    ));
     let drains = list(&[target("s-00000001", backend.address, "draining")]).to_string();
     let sent = answer_all(backend);
     let mut client = front.client();
@@ -353,7 +358,7 @@
     let known = list(&[target("s-00000001", backend.address, "ready")]);
     let mut config = config(agent.address, known.clone());
     config["settings"]["rules"]["stopSendingWithin"] = json!(1000.0);
-    let front = Front::start(&config);
+    let front = GatewayProcess::start(&config);
     agent.next().ok(&known.to_string());
     let watch = agent.next();
     front.signal("-STOP");
--- a/tests/front_door/main.rs
+++ b/tests/gateway_process/main.rs
@@ -1,4 +1,4 @@
-//! The front door over loopback sockets: the built program against small scripted peers.
+//! The gateway process over loopback sockets: the built program against small scripted peers.
 
 mod backends;
 mod clients;
--- a/tests/front_door/peers.rs
+++ b/tests/gateway_process/peers.rs
@@ -15,7 +15,7 @@
 use std::time::{Duration, Instant};
 
 /// Nothing here takes that long unless it fails.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// One message of HTTP: its first line, its headers (names in lower case) and its body.
 pub struct Message {
@@ -91,7 +91,7 @@
         }
     }
     /// Writes this and closes.
-    pub fn break_off(mut self, bytes: &str) {
+    pub fn send_and_close(mut self, bytes: &str) {
         self.stream.write_all(bytes.as_bytes()).expect("the bytes go out");
         self.stream.shutdown(Shutdown::Both).expect("the connection closes");
     }
@@ -123,14 +123,14 @@
         let (sender, exchanges) = channel();
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+                stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
                 read_on(stream, sender.clone());
             }
         });
         Peer { address, exchanges }
     }
     pub fn next(&self) -> Exchange {
-        self.exchanges.recv_timeout(PATIENCE).expect("a request comes")
+        self.exchanges.recv_timeout(TEST_TIMEOUT).expect("a request comes")
     }
 }
 
@@ -159,7 +159,7 @@
         Discovery { address, history, watches }
     }
     /// Tells a change, and waits for the watch that follows: the front door has taken the change in by then.
-    pub fn tell(&self, targets: Value) {
+    pub fn push_targets(&self, targets: Value) {
         let (history, changed) = &*self.history;
         let mut history = history.lock().expect("no one panics while holding it");
         history.push(targets);
@@ -172,7 +172,7 @@
         self.next_watch();
     }
     fn next_watch(&self) -> usize {
-        self.watches.recv_timeout(PATIENCE).expect("a watch comes")
+        self.watches.recv_timeout(TEST_TIMEOUT).expect("a watch comes")
     }
 }
 
@@ -235,14 +235,14 @@
 }
 
 /// A backend to which connections come up only once `open` is called: its backlog is full.
-pub struct Stuck {
+pub struct FullBacklogPeer {
     pub listener: TcpListener,
     pub address: SocketAddr,
     pub _filling: TcpStream,
 }
 
-impl Stuck {
-    pub fn start() -> Stuck {
+impl FullBacklogPeer {
+    pub fn start() -> FullBacklogPeer {
         let socket =
             socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
         socket.bind(&SocketAddr::from((Ipv4Addr::LOCALHOST, 0)).into()).expect("a port");
@@ -250,11 +250,11 @@
         let listener = TcpListener::from(socket);
         let address = listener.local_addr().expect("an address");
         let filling = TcpStream::connect(address).expect("the backlog holds one");
-        Stuck { listener, address, _filling: filling }
+        FullBacklogPeer { listener, address, _filling: filling }
     }
     /// Waits until a connection is on its way that does not come up.
     pub fn wait_for_connect(&self) {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + TEST_TIMEOUT;
         let (a, port) = (u32::from_le_bytes([127, 0, 0, 1]), self.address.port());
         let wanted = format!("{a:08X}:{port:04X} 02");
         while !std::fs::read_to_string("/proc/net/tcp").expect("the system's sockets").contains(&wanted) {
@@ -266,7 +266,7 @@
     pub fn open(self) -> Vec<u8> {
         let _filling = self.listener.accept().expect("the one that filled the backlog");
         let (mut stream, _) = self.listener.accept().expect("the front door's");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
         let mut bytes = Vec::new();
         stream.read_to_end(&mut bytes).expect("the front door closes the connection");
         bytes
@@ -316,45 +316,45 @@
 }
 
 /// The program. It is killed when the test ends.
-pub struct Front {
+pub struct GatewayProcess {
     pub child: Child,
     pub address: SocketAddr,
     /// The file of its configuration.
     pub file: PathBuf,
 }
 
-impl Front {
+impl GatewayProcess {
     /// Starts the program and waits until it listens.
-    pub fn start(config: &Value) -> Front {
-        Front::start_with(config, Stdio::inherit())
+    pub fn start(config: &Value) -> GatewayProcess {
+        GatewayProcess::start_with(config, Stdio::inherit())
     }
-    pub fn start_with(config: &Value, errors: Stdio) -> Front {
+    pub fn start_with(config: &Value, errors: Stdio) -> GatewayProcess {
         let file = write_config(config);
         let child = spawn(&file, config, errors);
-        Front::listening(child, config, file)
+        GatewayProcess::listening(child, config, file)
     }
     /// Waits until a program that was started listens.
-    pub fn listening(child: Child, config: &Value, file: PathBuf) -> Front {
+    pub fn listening(child: Child, config: &Value, file: PathBuf) -> GatewayProcess {
         let address = config["listen"].as_str().expect("an address").parse().expect("an address");
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + TEST_TIMEOUT;
         while TcpStream::connect(address).is_err() {
             assert!(Instant::now() < until, "the front door does not listen");
             thread::sleep(Duration::from_millis(5));
         }
-        Front { child, address, file }
+        GatewayProcess { child, address, file }
     }
     /// One in front of these backends, known to it from its start, with discovery dead.
-    pub fn before(backends: &[SocketAddr]) -> Front {
+    pub fn before(backends: &[SocketAddr]) -> GatewayProcess {
         let targets: Vec<Value> = backends
             .iter()
             .enumerate()
             .map(|(n, at)| target(&format!("s-0000000{n}"), *at, "ready"))
             .collect();
-        Front::start(&config(closed_port(), list(&targets)))
+        GatewayProcess::start(&config(closed_port(), list(&targets)))
     }
     pub fn client(&self) -> Client {
         let stream = TcpStream::connect(self.address).expect("the front door accepts");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
         Client { stream }
     }
     /// A request of a new client is answered by that backend.
@@ -379,7 +379,7 @@
 }
 
 /// How a process ended within that time; it is killed and `None` if it has not.
-pub fn end_within(child: &mut Child, span: Duration) -> Option<ExitStatus> {
+pub fn wait_for_exit(child: &mut Child, span: Duration) -> Option<ExitStatus> {
     let until = Instant::now() + span;
     while Instant::now() < until {
         if let Some(status) = child.try_wait().expect("the process is there") {
@@ -392,7 +392,7 @@
     None
 }
 
-impl Drop for Front {
+impl Drop for GatewayProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -410,19 +410,19 @@
 }
 
 /// A program that was started and may not listen yet. It is killed when a test fails before it does.
-pub struct Starting(Option<Child>);
+pub struct StartingGateway(Option<Child>);
 
-impl Starting {
-    pub fn spawn(file: &Path, config: &Value) -> Starting {
-        Starting(Some(spawn(file, config, Stdio::inherit())))
+impl StartingGateway {
+    pub fn spawn(file: &Path, config: &Value) -> StartingGateway {
+        StartingGateway(Some(spawn(file, config, Stdio::inherit())))
     }
     /// Waits until it listens.
-    pub fn listening(mut self, config: &Value, file: PathBuf) -> Front {
-        Front::listening(self.0.take().expect("it was started"), config, file)
+    pub fn listening(mut self, config: &Value, file: PathBuf) -> GatewayProcess {
+        GatewayProcess::listening(self.0.take().expect("it was started"), config, file)
     }
 }
 
-impl Drop for Starting {
+impl Drop for StartingGateway {
     fn drop(&mut self) {
         if let Some(child) = &mut self.0 {
             let _ = child.kill();
@@ -457,13 +457,13 @@
 }
 
 /// Makes the program's system calls fail.
-pub struct Faulty {
+pub struct FaultInjection {
     pub control: Control,
     library: PathBuf,
 }
 
-impl Faulty {
-    pub fn new() -> Faulty {
+impl FaultInjection {
+    pub fn new() -> FaultInjection {
         static LIBRARY: OnceLock<PathBuf> = OnceLock::new();
         static COUNT: AtomicU8 = AtomicU8::new(0);
         let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("shim-{}", std::process::id()));
@@ -472,7 +472,10 @@
             shim::build(&folder).expect("the library is built")
         });
         let control = folder.join(format!("control-{}", COUNT.fetch_add(1, Ordering::Relaxed)));
-        Faulty { control: Control::create(control).expect("a control file"), library: library.clone() }
+        FaultInjection {
+            control: Control::create(control).expect("a control file"),
+            library: library.clone(),
+        }
     }
     /// Starts the program under this, without waiting for anything.
     pub fn spawn(&self, file: &Path, config: &Value) -> Child {
@@ -483,10 +486,10 @@
             .expect("the program starts")
     }
     /// Starts the program and waits until it listens.
-    pub fn start(&self, config: &Value) -> Front {
+    pub fn start(&self, config: &Value) -> GatewayProcess {
         let file = write_config(config);
         let child = self.spawn(&file, config);
-        Front::listening(child, config, file)
+        GatewayProcess::listening(child, config, file)
     }
 }
 
@@ -556,7 +559,7 @@
 
 /// The next request that reaches one of the two, and which of them.
 pub fn next_of(peers: &[Peer; 2]) -> (Exchange, usize) {
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TEST_TIMEOUT;
     loop {
         for (n, peer) in peers.iter().enumerate() {
             if let Ok(exchange) = peer.exchanges.recv_timeout(Duration::from_millis(2)) {
--- a/tests/front_door/process.rs
+++ b/tests/gateway_process/process.rs
@@ -26,7 +26,7 @@
 fn a_full_log_stops_nothing() {
     let (log, nobody) = full_log();
     let known = list(&[target("s-00000001", closed_port(), "draining")]);
-    let front = Front::start_with(&config(closed_port(), known), log);
+    let front = GatewayProcess::start_with(&config(closed_port(), known), log);
     let mut client = front.client();
     // The module reports once a second that it has no server.
     let until = Instant::now() + Duration::from_millis(2500);
@@ -41,7 +41,7 @@
 fn a_log_that_nobody_takes_ends_nothing() {
     let known = list(&[target("s-00000001", closed_port(), "draining")]);
     let config = config(closed_port(), known);
-    let mut front = Front::start_with(&config, Stdio::piped());
+    let mut front = GatewayProcess::start_with(&config, Stdio::piped());
     drop(front.child.stderr.take());
     let mut client = front.client();
     // The module reports once a second that it has no server.
@@ -71,14 +71,14 @@
         let config = config(closed_port(), list(&[target("s-00000001", closed_port(), "draining")]));
         let file = write_config(&config);
         let child = command(&file, &config).env("BALANCER_TRACE", trace).stderr(log).spawn();
-        let mut front = Front::listening(child.expect("the program starts"), &config, file);
+        let mut front = GatewayProcess::listening(child.expect("the program starts"), &config, file);
         let mut client = front.client();
         for _ in 0..20 {
             assert_eq!(client.send(&get("")).read().status(), 429);
         }
         drop(client);
         front.terminate();
-        let status = end_within(&mut front.child, END).expect("it ends");
+        let status = wait_for_exit(&mut front.child, END).expect("it ends");
         assert!(status.success(), "trace {trace}: {status}");
     }
 }
@@ -95,7 +95,7 @@
     drop(gone);
     for log in [full, Stdio::from(OwnedFd::from(closed))] {
         let mut child = spawn(&file, &bad, log);
-        let status = end_within(&mut child, END).expect("it ends");
+        let status = wait_for_exit(&mut child, END).expect("it ends");
         assert_eq!(status.code(), Some(1), "{status}");
     }
 }
--- a/tests/front_door/quota.rs
+++ b/tests/gateway_process/quota.rs
@@ -39,7 +39,7 @@
     let targets = ["s-00000001", "s-00000002", "s-00000003", "s-00000004"];
     let mut config = config(closed_port(), list(&targets.map(|uid| target(uid, backend.address, "ready"))));
     config["settings"]["balancers"] = json!(4);
-    let front = Front::start(&config);
+    let front = GatewayProcess::start(&config);
     let get = || get("").replace("spread=1", "spread=4");
     let mut client = front.client();
     for figure in ["1e300", "-7", "inf", "NaN", "forty", "40\r\nUsage-Percent: 1e300"] {
@@ -68,7 +68,7 @@
         config["settings"]["balancers"] = json!(2);
         config["settings"]["plans"][0]["unitsPerS"] = json!(22.0);
         config["settings"]["plans"][0]["storeSize"] = json!(90.0);
-        let front = Front::start(&config);
+        let front = GatewayProcess::start(&config);
         let mut client = front.client();
         let start = Instant::now();
         let delay = Duration::from_millis(delay);
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_customer_that_gathers_on_one_front_door_has_its_burst_there() {
+fn a_customer_that_sends_through_one_gateway_only_has_its_whole_burst_there() {
     let backend = Peer::start();
     let targets: Vec<Value> =
         (1..=4).map(|n| target(&format!("s-0000000{n}"), backend.address, "ready")).collect();
@@ -103,7 +103,7 @@
     config["settings"]["familyInfo"]["usePeriod"] = json!(60_000.0);
     config["settings"]["plans"][0]["unitsPerS"] = json!(1.0);
     config["settings"]["plans"][0]["storeSize"] = json!(40.0);
-    let front = Front::start(&config);
+    let front = GatewayProcess::start(&config);
     let mut client = front.client();
     for n in 1..=8 {
         client.send(&get("").replace("spread=1", "spread=4"));
--- a/tests/front_door/reload.rs
+++ b/tests/gateway_process/reload.rs
@@ -32,7 +32,7 @@
 fn a_start_that_cannot_read_its_file_yet_bears_signals_in_series() {
     let backend = Peer::start();
     let config = config(closed_port(), list(&[target("s-00000001", backend.address, "ready")]));
-    let faulty = Faulty::new();
+    let faulty = FaultInjection::new();
     faulty.control.set(Faults { open_fails: 1.0, ..Faults::default() });
     let file = write_config(&config);
     let child = faulty.spawn(&file, &config);
@@ -41,7 +41,7 @@
         signal(&child, "-HUP");
     }
     faulty.control.set(Faults::default());
-    let front = Front::listening(child, &config, file);
+    let front = GatewayProcess::listening(child, &config, file);
     front.serves_from(&backend);
 }
 
@@ -50,14 +50,14 @@
 fn a_start_that_is_told_to_end_ends_at_once_and_in_order() {
     for signals in [&["-TERM"][..], &["-HUP", "-TERM", "-HUP", "-TERM"]] {
         let config = config(closed_port(), list(&[]));
-        let faulty = Faulty::new();
+        let faulty = FaultInjection::new();
         faulty.control.set(Faults { open_fails: 1.0, ..Faults::default() });
         let mut child = faulty.spawn(&write_config(&config), &config);
         thread::sleep(HELD_UP);
         for name in signals {
             signal(&child, name);
         }
-        let status = end_within(&mut child, AT_ONCE).expect("it ends at once");
+        let status = wait_for_exit(&mut child, AT_ONCE).expect("it ends at once");
         assert!(status.success(), "{signals:?}: {status}");
     }
 }
@@ -77,7 +77,7 @@
         .map(|moment| {
             let config = config(closed_port(), list(&[target("s-00000001", closed_port(), "ready")]));
             let child = spawn(&write_config(&config), &config, Stdio::inherit());
-            let until = Instant::now() + PATIENCE;
+            let until = Instant::now() + TEST_TIMEOUT;
             while !takes_signals(&child) {
                 assert!(Instant::now() < until, "it takes no signals");
                 thread::sleep(Duration::from_micros(100));
@@ -90,7 +90,7 @@
         })
         .collect();
     for (moment, mut child) in ending {
-        let status = end_within(&mut child, AT_ONCE).expect("it ends");
+        let status = wait_for_exit(&mut child, AT_ONCE).expect("it ends");
         assert!(status.success(), "{moment:?} behind the moment at which it takes signals: {status}");
     }
 }
@@ -99,7 +99,7 @@
 fn a_file_that_is_newer_than_the_one_read_at_the_start_is_taken() {
     let (first, second) = (Peer::start(), Peer::start());
     let mut config = config(first.address, list(&[]));
-    let faulty = Faulty::new();
+    let faulty = FaultInjection::new();
     // The file is read and the port can't be had yet.
     faulty.control.set(Faults { socket_fails: 1.0, ..Faults::default() });
     let file = write_config(&config);
@@ -109,7 +109,7 @@
     std::fs::write(&file, config.to_string()).expect("the file is replaced");
     signal(&child, "-HUP");
     faulty.control.set(Faults::default());
-    let _front = Front::listening(child, &config, file);
+    let _front = GatewayProcess::listening(child, &config, file);
     second.next();
 }
 
@@ -121,7 +121,7 @@
     for cut in [half, |_: &Value| String::new()] {
         let (backend, first, second) = (Peer::start(), Peer::start(), Peer::start());
         let mut config = config(first.address, list(&[target("s-00000001", backend.address, "ready")]));
-        let front = Front::start(&config);
+        let front = GatewayProcess::start(&config);
         let _call = first.next();
         config["discovery"] = json!(second.address.to_string());
         std::fs::write(&front.file, cut(&config)).expect("a part is written");
@@ -139,7 +139,7 @@
     let (backend, first, second) = (Peer::start(), Peer::start(), Peer::start());
     let mut config = config(first.address, list(&[target("s-00000001", backend.address, "ready")]));
     let (log, writer) = UnixStream::pair().expect("a pair");
-    let front = Front::start_with(&config, Stdio::from(OwnedFd::from(writer)));
+    let front = GatewayProcess::start_with(&config, Stdio::from(OwnedFd::from(writer)));
     let _call = first.next();
     config["discovery"] = json!(second.address.to_string());
     config["settings"]["plans"][0]["unitsPerS"] = json!(-1.0);
@@ -167,7 +167,7 @@
         thread::sleep(HELD_UP);
         assert_eq!(child.try_wait().expect("the process is there"), None, "it has ended");
         std::fs::write(&file, config.to_string()).expect("the rest is written");
-        let front = Front::listening(child, &config, file);
+        let front = GatewayProcess::listening(child, &config, file);
         front.serves_from(&backend);
     }
 }
@@ -177,7 +177,7 @@
 fn a_file_that_takes_for_ever_to_open_holds_up_neither_service_nor_the_end() {
     let backend = Peer::start();
     let config = config(closed_port(), list(&[target("s-00000001", backend.address, "ready")]));
-    let mut front = Front::start(&config);
+    let mut front = GatewayProcess::start(&config);
     replace_by_pipe(&front.file);
     front.signal("-HUP");
     thread::sleep(Duration::from_millis(300));
@@ -187,7 +187,7 @@
     assert_eq!(client.read().status(), 200);
     front.terminate();
     drop(client);
-    assert!(end_within(&mut front.child, AT_ONCE).expect("it ends").success());
+    assert!(wait_for_exit(&mut front.child, AT_ONCE).expect("it ends").success());
 }
 
 #[test]
@@ -198,7 +198,7 @@
     let mut child = spawn(&file, &config, Stdio::inherit());
     thread::sleep(HELD_UP);
     signal(&child, "-TERM");
-    let status = end_within(&mut child, AT_ONCE).expect("it ends at once");
+    let status = wait_for_exit(&mut child, AT_ONCE).expect("it ends at once");
     assert!(status.success(), "{status}");
 }
 
@@ -210,7 +210,7 @@
     let config = config(agent.address, list(&[]));
     let file = write_config(&config);
     replace_by_pipe(&file);
-    let starting = Starting::spawn(&file, &config);
+    let starting = StartingGateway::spawn(&file, &config);
     assert_eq!(agent.next().request.line, "GET /v1/servers HTTP/1.1", "asked meanwhile");
     thread::sleep(Duration::from_millis(500));
     std::fs::write(&file, config.to_string()).expect("the pipe is read");
@@ -231,7 +231,7 @@
     let mut config = config(old.address, known.clone());
     let file = write_config(&config);
     std::fs::write(&file, &config.to_string()[..99]).expect("the file is cut short");
-    let starting = Starting::spawn(&file, &config);
+    let starting = StartingGateway::spawn(&file, &config);
     assert_eq!(old.next().request.line, "GET /v1/servers HTTP/1.1", "asked meanwhile");
     config["discovery"] = json!(new.address.to_string());
     std::fs::write(&file, config.to_string()).expect("the file is whole");
--- a/tests/front_door/shutdown.rs
+++ b/tests/gateway_process/shutdown.rs
@@ -10,7 +10,7 @@
 #[test]
 fn sigterm_ends_it_in_order() {
     let backend = Peer::start();
-    let mut front = Front::before(&[backend.address]);
+    let mut front = GatewayProcess::before(&[backend.address]);
     let mut idle = front.client();
     idle.send(&get(""));
     backend.next().ok("");
@@ -20,7 +20,7 @@
     let in_hand = backend.next();
     front.terminate();
     // Until the signal has come, answers keep their connections.
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TEST_TIMEOUT;
     loop {
         let mut late = front.client();
         late.send(&get(""));
@@ -45,7 +45,7 @@
     let backend = Peer::start();
     let mut config = config(closed_port(), list(&[target("s-00000001", backend.address, "ready")]));
     config["settings"]["classes"][1]["deadline"] = json!(12_000.0);
-    let mut front = Front::start(&config);
+    let mut front = GatewayProcess::start(&config);
     let mut client = front.client();
     client.send(&post("a job").replace("4000m", "12000m"));
     let _silent = backend.next();
@@ -58,8 +58,8 @@
 }
 
 /// Waits until the front door has taken the signal: it is not ready any more.
-fn wait_until_leaving(front: &Front) {
-    let until = Instant::now() + PATIENCE;
+fn wait_until_leaving(front: &GatewayProcess) {
+    let until = Instant::now() + TEST_TIMEOUT;
     let ask = "GET /healthz HTTP/1.1\r\nHost: backend.local\r\n\r\n";
     while front.client().send(ask).read().status() == 200 {
         assert!(Instant::now() < until, "the signal does nothing");
@@ -67,13 +67,13 @@
 }
 
 /// Waits until the front door closes what nobody asks on.
-fn wait_until_closing(front: &Front, idle: &mut Client) {
+fn wait_until_closing(front: &GatewayProcess, idle: &mut Client) {
     wait_until_leaving(front);
     idle.expect_close();
 }
 
 /// One that was answered and is idle.
-fn idle_client(front: &Front, backend: &Peer) -> Client {
+fn idle_client(front: &GatewayProcess, backend: &Peer) -> Client {
     let mut idle = front.client();
     idle.send(&get(""));
     backend.next().ok("");
@@ -84,7 +84,7 @@
 #[test]
 fn a_request_read_in_part_when_idle_connections_close_is_served() {
     let backend = Peer::start();
-    let mut front = Front::before(&[backend.address]);
+    let mut front = GatewayProcess::before(&[backend.address]);
     let (mut asking, mut idle) = (idle_client(&front, &backend), idle_client(&front, &backend));
     let mut new = front.client();
     front.terminate();
@@ -107,7 +107,7 @@
 #[test]
 fn who_comes_while_the_last_requests_are_finished_is_served() {
     let backend = Peer::start();
-    let mut front = Front::before(&[backend.address]);
+    let mut front = GatewayProcess::before(&[backend.address]);
     let mut idle = idle_client(&front, &backend);
     let mut busy = front.client();
     busy.send(&post("in hand"));
@@ -128,7 +128,7 @@
     let backend = Peer::start();
     let mut config = config(closed_port(), list(&[target("s-00000001", backend.address, "ready")]));
     config["settings"]["classes"][1]["deadline"] = json!(12_000.0);
-    let mut front = Front::start(&config);
+    let mut front = GatewayProcess::start(&config);
     let mut busy = front.client();
     busy.send(&post("a job").replace("4000m", "12000m"));
     let _silent = backend.next();
@@ -148,13 +148,13 @@
 #[test]
 fn signals_that_come_twice_or_before_it_is_ready_change_nothing() {
     let backend = Peer::start();
-    let mut front = Front::start(&config(closed_port(), list(&[])));
+    let mut front = GatewayProcess::start(&config(closed_port(), list(&[])));
     front.signal("-HUP");
     front.terminate();
     front.terminate();
     front.signal("-HUP");
     assert!(front.child.wait().expect("it ends").success());
-    let mut front = Front::before(&[backend.address]);
+    let mut front = GatewayProcess::before(&[backend.address]);
     let mut busy = front.client();
     busy.send(&post("in hand"));
     let in_hand = backend.next();
@@ -171,7 +171,7 @@
 #[test]
 fn what_was_pipelined_when_the_signal_came_is_answered() {
     let backend = Peer::start();
-    let mut front = Front::before(&[backend.address]);
+    let mut front = GatewayProcess::before(&[backend.address]);
     let mut client = front.client();
     client.send(&format!("{}{}{}", get("/first"), post("second"), get("/third")));
     let first = backend.next();
--- a/tests/front_door/system_calls.rs
+++ b/tests/gateway_process/system_calls.rs
@@ -9,7 +9,7 @@
 #[test]
 fn interrupted_reads_and_writes_lose_no_request() {
     let backend = Peer::start();
-    let faulty = Faulty::new();
+    let faulty = FaultInjection::new();
     let config = config(closed_port(), list(&[target("s-00000001", backend.address, "ready")]));
     let front = faulty.start(&config);
     let _served = answer_all(backend);
@@ -23,7 +23,7 @@
 }
 
 /// All accepts of the program fail for this long, then none.
-fn stall_accepts(faulty: &Faulty, span: Duration) {
+fn stall_accepts(faulty: &FaultInjection, span: Duration) {
     faulty.control.set(Faults { accept_fails: 1.0, ..Faults::default() });
     thread::sleep(span);
     faulty.control.set(Faults::default());
@@ -32,7 +32,7 @@
 #[test]
 fn a_request_that_waited_to_be_accepted_has_less_time_left() {
     let backend = Peer::start();
-    let faulty = Faulty::new();
+    let faulty = FaultInjection::new();
     let front = faulty.start(&config(closed_port(), list(&[target("s-00000001", backend.address, "ready")])));
     faulty.control.set(Faults { accept_fails: 1.0, ..Faults::default() });
     let mut client = front.client();
@@ -48,7 +48,7 @@
 #[test]
 fn who_waits_to_be_accepted_at_a_shutdown_is_answered() {
     let backend = Peer::start();
-    let faulty = Faulty::new();
+    let faulty = FaultInjection::new();
     let config = config(closed_port(), list(&[target("s-00000001", backend.address, "ready")]));
     let mut front = faulty.start(&config);
     let _served = answer_all(backend);
@@ -68,7 +68,7 @@
 fn a_new_configuration_that_cannot_be_read_at_first_is_read_later() {
     let (backend, first, second) = (Peer::start(), Peer::start(), Peer::start());
     let mut config = config(first.address, list(&[target("s-00000001", backend.address, "ready")]));
-    let faulty = Faulty::new();
+    let faulty = FaultInjection::new();
     let front = faulty.start(&config);
     let _call = first.next();
     config["discovery"] = json!(second.address.to_string());
@@ -84,7 +84,7 @@
 fn a_start_bears_calls_that_fail_for_a_moment() {
     let backend = Peer::start();
     let config = config(closed_port(), list(&[target("s-00000001", backend.address, "ready")]));
-    let faulty = Faulty::new();
+    let faulty = FaultInjection::new();
     faulty.control.set(Faults { open_fails: 1.0, socket_fails: 1.0, ..Faults::default() });
     let file = write_config(&config);
     let child = faulty.spawn(&file, &config);
@@ -92,7 +92,7 @@
     faulty.control.set(Faults { socket_fails: 1.0, ..Faults::default() });
     thread::sleep(Duration::from_millis(700));
     faulty.control.set(Faults::default());
-    let front = Front::listening(child, &config, file);
+    let front = GatewayProcess::listening(child, &config, file);
     front.serves_from(&backend);
 }
 
@@ -100,7 +100,7 @@
 fn a_connection_that_this_machine_cannot_make_for_a_moment_is_no_servers_fault() {
     let backend = Peer::start();
     let config = config(closed_port(), list(&[target("s-00000001", backend.address, "ready")]));
-    let faulty = Faulty::new();
+    let faulty = FaultInjection::new();
     let front = faulty.start(&config);
     let mut client = front.client();
     faulty.control.set(Faults { connect_fails: 0.7, socket_fails: 0.7, ..Faults::default() });
@@ -115,7 +115,7 @@
 
 #[test]
 fn who_waited_to_be_accepted_and_does_not_ask_is_sent_away_no_later() {
-    let faulty = Faulty::new();
+    let faulty = FaultInjection::new();
     let front = faulty.start(&config(closed_port(), list(&[target("s-00000001", closed_port(), "ready")])));
     faulty.control.set(Faults { accept_fails: 1.0, ..Faults::default() });
     let came = Instant::now();
@@ -138,13 +138,13 @@
     let mut config = config(agent.address, list(&[]));
     // Waits and pauses are parts of this time: a fifth of it is the longest pause.
     config["settings"]["rules"]["stopSendingWithin"] = json!(10_000.0);
-    let faulty = Faulty::new();
+    let faulty = FaultInjection::new();
     let _front = faulty.start(&config);
     agent.next().ok(&list(&[]).to_string());
     for _ in 0..5 {
         let watch = agent.next();
         faulty.control.set(Faults { connect_fails: 1.0, ..Faults::default() });
-        watch.break_off("");
+        watch.send_and_close("");
         thread::sleep(Duration::from_millis(1500));
         faulty.control.set(Faults::default());
         let since = Instant::now();
--- a/tests/health.rs
+++ b/tests/health.rs
@@ -9,7 +9,7 @@
 /// Asks every 20 ms for a while, with some requests in hand at a time; `answer` tells for a server and
 /// the number of its attempt how that ends, `None` for never. Returns the sends to each server.
 fn run(
-    host: &mut Host,
+    host: &mut TestHost,
     rounds: usize,
     answer: impl Fn(ServerId, usize) -> Option<Outcome>,
 ) -> BTreeMap<ServerId, usize> {
@@ -17,7 +17,7 @@
 }
 
 fn run_with(
-    host: &mut Host,
+    host: &mut TestHost,
     rounds: usize,
     in_hand: usize,
     answer: impl Fn(ServerId, usize) -> Option<Outcome>,
@@ -26,7 +26,7 @@
     let mut hand = std::collections::VecDeque::new();
     for _ in 0..rounds {
         host.now += 20.0;
-        let (id, actions) = host.ask(1, 3, 1);
+        let (id, actions) = host.new_request(1, 3, 1);
         for target in sends(&actions) {
             *sent.entry(target).or_insert(0) += 1;
             if let Some(outcome) = answer(target, sent[&target]) {
@@ -41,15 +41,15 @@
     sent
 }
 
-fn fleet() -> Host {
+fn fleet() -> TestHost {
     let servers: Vec<_> = (1..=6).map(server).collect();
-    Host::new(settings(), &servers)
+    TestHost::new(settings(), &servers)
 }
 
 #[test]
 fn a_hung_server_soon_gets_nothing_new() {
     let servers: Vec<_> = (1..=3).map(server).collect();
-    let mut host = Host::new(Settings { gateways: 1, ..settings() }, &servers);
+    let mut host = TestHost::new(Settings { gateways: 1, ..settings() }, &servers);
     run_with(&mut host, 40, 9, |_, _| Some(Outcome::Ok));
     let sent = run_with(&mut host, 600, 9, |server, _| (server != 1).then_some(Outcome::Ok));
     assert!(sent[&1] <= 7 && sent[&2] > 100, "{sent:?}");
@@ -74,7 +74,7 @@
 fn a_fleet_that_looks_bad_as_a_whole_is_not_ejected() {
     let mut host = fleet();
     run(&mut host, 60, |_, _| Some(Outcome::Error));
-    let (_, actions) = host.ask(1, 3, 1);
+    let (_, actions) = host.new_request(1, 3, 1);
     assert_eq!(sends(&actions).len(), 1);
 }
 
@@ -91,8 +91,8 @@
 
 #[test]
 fn without_any_server_requests_are_refused() {
-    let mut host = Host::new(settings(), &[]);
-    assert!(refused(&host.ask(1, 3, 1).1));
+    let mut host = TestHost::new(settings(), &[]);
+    assert!(refused(&host.new_request(1, 3, 1).1));
 }
 
 #[test]
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{sends, server, settings, Host};
+use common::{sends, server, settings, TestHost};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed, TestRng, TestRunner};
 use springusher::*;
@@ -327,12 +327,12 @@
 
 #[test]
 fn memory_stays_bounded_with_a_long_uptime() {
-    let mut host = Host::new(settings(), &[server(1), server(2)]);
-    let size_after = |host: &mut Host, requests: usize| {
+    let mut host = TestHost::new(settings(), &[server(1), server(2)]);
+    let size_after = |host: &mut TestHost, requests: usize| {
         for _ in 0..requests {
             host.now += 20.0;
             for plan in [0, 3] {
-                let (id, actions) = host.ask(plan as u64, plan, 0);
+                let (id, actions) = host.new_request(plan as u64, plan, 0);
                 if !sends(&actions).is_empty() {
                     host.end(id, 0, Outcome::Ok, Some(0.5));
                 }
--- a/tests/meter.rs
+++ b/tests/meter.rs
@@ -20,7 +20,7 @@
 fn refused_within_quota(begin: Millis, delay: Millis, jitter: Millis, seed: u64) -> u32 {
     let plan = Plan { rate: RATE, burst: 90.0, price: 1.0, excess_cost: 0.8, ..Plan::default() };
     let told = Settings { plans: vec![plan], meter_period: PERIOD, ..settings() };
-    let mut host = Host::seeded(told, 3, &[server(1), server(2), server(3), server(4)]);
+    let mut host = TestHost::seeded(told, 3, &[server(1), server(2), server(3), server(4)]);
     let mut rng = Rand64::new(u128::from(seed));
     let mut counted: Vec<Millis> = Vec::new();
     let mut refused = 0;
@@ -28,7 +28,7 @@
         host.now = begin + BETWEEN_BURSTS * f64::from(burst);
         for _ in 0..EACH {
             host.now += BETWEEN_REQUESTS + jitter * rng.rand_float();
-            let (id, actions) = host.ask(1, 0, 0);
+            let (id, actions) = host.new_request(1, 0, 0);
             if sends(&actions).is_empty() {
                 refused += 1;
                 continue;
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -7,8 +7,8 @@
 
 #[test]
 fn a_request_without_an_answer_is_failed_before_its_client_gives_up() {
-    let mut host = Host::new(settings(), &[server(1)]);
-    let (_, actions) = host.ask(1, 3, 1);
+    let mut host = TestHost::new(settings(), &[server(1)]);
+    let (_, actions) = host.new_request(1, 3, 1);
     assert_eq!(sends(&actions), [1]);
     let actions = host.run_timers(4000.0);
     assert!(failed(&actions) && !refused(&actions));
@@ -17,8 +17,8 @@
 #[test]
 fn an_unsafe_request_that_may_have_run_is_neither_sent_again_nor_refused() {
     for outcome in [Outcome::Error, Outcome::TimedOut, Outcome::Reset, Outcome::Cancelled] {
-        let mut host = Host::new(settings(), &[server(1), server(2)]);
-        let (id, _) = host.ask(1, 3, 1);
+        let mut host = TestHost::new(settings(), &[server(1), server(2)]);
+        let (id, _) = host.new_request(1, 3, 1);
         let actions = host.end(id, 0, outcome, None);
         assert!(sends(&actions).is_empty() && !refused(&actions) && failed(&actions), "{outcome:?}");
     }
@@ -26,8 +26,8 @@
 
 #[test]
 fn an_unsafe_request_known_not_to_have_run_is_sent_to_another_server() {
-    let mut host = Host::new(settings(), &[server(1), server(2)]);
-    let (id, first) = host.ask(1, 3, 1);
+    let mut host = TestHost::new(settings(), &[server(1), server(2)]);
+    let (id, first) = host.new_request(1, 3, 1);
     let again = sends(&host.end(id, 0, Outcome::Overloaded, None));
     assert_eq!(again.len(), 1);
     assert_ne!(again, sends(&first));
@@ -36,23 +36,23 @@
 #[test]
 fn a_keyed_request_that_may_have_run_stays_in_its_group_and_window() {
     let far = ServerEntry { zone: 1, ..server(2) };
-    let mut host = Host::new(settings(), &[server(1), far]);
-    let (id, first) = host.ask(1, 3, 2);
+    let mut host = TestHost::new(settings(), &[server(1), far]);
+    let (id, first) = host.new_request(1, 3, 2);
     assert_eq!(sends(&first), [1]);
     let again = sends(&host.end(id, 0, Outcome::Reset, None));
     assert!(again.iter().all(|server| *server == 1), "left the zone: {again:?}");
-    let (id, _) = host.ask(1, 3, 2);
+    let (id, _) = host.new_request(1, 3, 2);
     host.now += 1600.0;
     assert!(sends(&host.end(id, 0, Outcome::Reset, None)).is_empty(), "sent again after the window");
 }
 
 #[test]
 fn a_draining_server_gets_nothing_from_the_moment_it_is_told() {
-    let mut host = Host::new(settings(), &[server(1), server(2)]);
+    let mut host = TestHost::new(settings(), &[server(1), server(2)]);
     let entries = vec![ServerEntry { lifecycle: Lifecycle::Draining, ..server(1) }];
     host.event(Event::Servers { kind: ListKind::Delta, entries });
     for _ in 0..50 {
-        let (id, actions) = host.ask(1, 3, 0);
+        let (id, actions) = host.new_request(1, 3, 0);
         assert_eq!(sends(&actions), [2]);
         host.end(id, 0, Outcome::Ok, None);
     }
@@ -61,12 +61,12 @@
 #[test]
 fn a_cold_server_gets_less_than_its_ramp_allows_in_any_window() {
     let cold = ServerEntry { started_at: Some(0.0), ..server(9) };
-    let mut host = Host::new(settings(), &[server(1), server(2), server(3), cold]);
+    let mut host = TestHost::new(settings(), &[server(1), server(2), server(3), cold]);
     let (mut to_cold, mut to_warm) = (0, 0);
     let mut in_hand = std::collections::VecDeque::new();
     for _ in 0..300 {
         host.now += 10.0;
-        let (id, actions) = host.ask(1, 3, 0);
+        let (id, actions) = host.new_request(1, 3, 0);
         for target in sends(&actions) {
             if target == 9 {
                 to_cold += 1;
@@ -95,11 +95,11 @@
 
 #[test]
 fn the_share_of_a_ceiling_fills_from_birth_and_is_never_overdrawn() {
-    let mut host = Host::new(settings(), &[server(1)]);
+    let mut host = TestHost::new(settings(), &[server(1)]);
     let mut sent = 0.0;
     for step in 1..=4000 {
         host.now = f64::from(step) * 2.0;
-        let (id, actions) = host.ask(1, 1, 0);
+        let (id, actions) = host.new_request(1, 1, 0);
         if !sends(&actions).is_empty() {
             sent += 1.0;
             host.end(id, 0, Outcome::Ok, Some(0.1));
@@ -112,8 +112,8 @@
 
 #[test]
 fn a_request_handed_over_twice_is_sent_and_answered_once() {
-    let mut host = Host::new(settings(), &[server(1), server(2), server(3), server(4)]);
-    let (id, first) = host.ask(1, 3, 1);
+    let mut host = TestHost::new(settings(), &[server(1), server(2), server(3), server(4)]);
+    let (id, first) = host.new_request(1, 3, 1);
     let request = Request {
         id,
         customer: 1,
@@ -134,10 +134,10 @@
 
 #[test]
 fn requests_beyond_the_open_cap_wait_for_an_attempt_to_end() {
-    let mut host = Host::new(settings(), &[server(1), server(2), server(3), server(4), server(5)]);
-    let (first, _) = host.ask(1, 2, 0);
-    host.ask(1, 2, 0);
-    let (third, actions) = host.ask(1, 2, 0);
+    let mut host = TestHost::new(settings(), &[server(1), server(2), server(3), server(4), server(5)]);
+    let (first, _) = host.new_request(1, 2, 0);
+    host.new_request(1, 2, 0);
+    let (third, actions) = host.new_request(1, 2, 0);
     assert!(sends(&actions).is_empty() && !refused(&actions));
     let actions = host.end(first, 0, Outcome::Ok, None);
     assert!(actions.iter().any(|action| matches!(action, Action::Send { request, .. } if *request == third)));
--- a/tests/shared_quota.rs
+++ b/tests/shared_quota.rs
@@ -36,7 +36,7 @@
 
 /// The gateways, and what they share.
 struct World {
-    hosts: Vec<Host>,
+    hosts: Vec<TestHost>,
     numbers: BTreeMap<CounterKey, f64>,
     /// Whether the counter answers.
     counter_is_up: bool,
@@ -54,7 +54,7 @@
 impl World {
     fn new(metered: bool, seed: u64) -> World {
         let servers: Vec<_> = (1..=60).map(server).collect();
-        let host = |ordinal| Host::seeded(told(ordinal, metered), seed + u64::from(ordinal), &servers);
+        let host = |ordinal| TestHost::seeded(told(ordinal, metered), seed + u64::from(ordinal), &servers);
         World {
             hosts: (0..GATEWAYS).map(host).collect(),
             numbers: BTreeMap::new(),
@@ -99,7 +99,7 @@
     }
 
     /// One try; true if it was sent on.
-    fn ask(&mut self, is_client_retry: bool, expires_in: Millis) -> bool {
+    fn new_request(&mut self, is_client_retry: bool, expires_in: Millis) -> bool {
         self.last += 1;
         let (gateway, id) = (self.gateway(), self.last);
         let spread = GATEWAYS;
@@ -149,11 +149,11 @@
                 let Some((_, tries)) = again.pop_front() else { break };
                 // What is left of 4 s after the tries before; first tries get nine tenths of that.
                 let left = (4000.0 - 450.0 * f64::from(tries)).min(3600.0);
-                if !self.ask(marked, left) && tries < 3 {
+                if !self.new_request(marked, left) && tries < 3 {
                     again.push_back((self.now + 200.0, tries + 1));
                 }
             }
-            if self.rng.rand_float() < offered * STEP / 1000.0 && !self.ask(false, 3600.0) {
+            if self.rng.rand_float() < offered * STEP / 1000.0 && !self.new_request(false, 3600.0) {
                 again.push_back((self.now + 200.0, 1));
             }
         }
@@ -203,7 +203,7 @@
 /// unanswered and tells `total` of the others; behind as many from which the gateway may learn.
 fn sent_of_strangers(total: f64) -> f64 {
     let servers: Vec<_> = (1..=60).map(server).collect();
-    let mut host = Host::seeded(told(0, false), 5, &servers);
+    let mut host = TestHost::seeded(told(0, false), 5, &servers);
     let mut sent = 0;
     for id in 1..=400 {
         host.now += 50.0;
--- a/tests/cold.rs
+++ b/tests/slow_start.rs
@@ -22,7 +22,7 @@
     let warm: Vec<_> = (2..=SERVERS).map(server).collect();
     let host = |ordinal| {
         let settings = Settings { ordinal, ..told.clone() };
-        Host::seeded(settings, seed * 1000 + u64::from(ordinal), &warm)
+        TestHost::seeded(settings, seed * 1000 + u64::from(ordinal), &warm)
     };
     let mut hosts: Vec<_> = (0..gateways).map(host).collect();
     let mut rng = Rand64::new(u128::from(seed));
@@ -47,7 +47,7 @@
             // One in twenty fails and is tried again.
             let failed = rng.rand_float() < 0.05;
             let outcome = if failed { Outcome::Error } else { Outcome::Ok };
-            let host: &mut Host = &mut hosts[n];
+            let host: &mut TestHost = &mut hosts[n];
             host.now = now;
             actions.extend(host.end(request, attempt, outcome, None).into_iter().map(|action| (n, action)));
         }
@@ -55,7 +55,7 @@
         let n = (rng.rand_float().powi(2) * f64::from(gateways)) as usize;
         customer += 1;
         hosts[n].now = now;
-        actions.extend(hosts[n].ask(customer, 3, 0).1.into_iter().map(|action| (n, action)));
+        actions.extend(hosts[n].new_request(customer, 3, 0).1.into_iter().map(|action| (n, action)));
         for (n, action) in actions {
             let Action::Send { request, server, .. } = action else { continue };
             let attempt = hosts[n]
