--- a/src/bin/brassport/client_connections.rs
+++ b/src/bin/brassport/client_connections.rs
@@ -27,15 +27,15 @@
     /// No whole request has come on it yet.
     New,
     /// A request is in hand.
-    Open,
+    InRequest,
     /// Answered, with nothing of a further request.
     Idle,
     /// Some of a further request has come.
-    Asking,
+    ReceivingRequest,
     /// What came made no sense; the answer that says so is the last.
     Last,
     /// It was told to close.
-    Leaving,
+    Closing,
 }
 
 /// What the close of a connection ends.
@@ -44,7 +44,7 @@
     /// Nobody asks on it.
     Unused,
     /// A request that has come in part and took too long.
-    HalfAsked,
+    PartialRequest,
     /// It had its last answer.
     Answered,
 }
@@ -64,23 +64,23 @@
 
 impl State {
     fn leave(&self) {
-        self.left.set(self.stage.replace(Stage::Leaving));
+        self.left.set(self.stage.replace(Stage::Closing));
         self.dismiss.notify_one();
     }
     /// Whether nobody has begun to ask on it.
     fn unused(&self) -> bool {
-        let stage = if self.stage.get() == Stage::Leaving { self.left.get() } else { self.stage.get() };
+        let stage = if self.stage.get() == Stage::Closing { self.left.get() } else { self.stage.get() };
         matches!(stage, Stage::New | Stage::Idle) && !self.begun.get()
     }
     fn overdue(&self, many: bool, closing: bool) -> bool {
         let most = match self.stage.get() {
             Stage::Idle if closing => Duration::ZERO,
             Stage::New if closing && self.unused() => SHY,
-            Stage::New | Stage::Asking => ASKING,
+            Stage::New | Stage::ReceivingRequest => ASKING,
             Stage::Idle if many && self.asked.get() <= 1 => LEAST_IDLE,
             Stage::Idle if many => LONG_IDLE,
             Stage::Idle | Stage::Last => IDLE,
-            Stage::Open | Stage::Leaving => return false,
+            Stage::InRequest | Stage::Closing => return false,
         };
         self.since.get().elapsed() >= most
     }
@@ -95,7 +95,7 @@
 
 impl ClientConnections {
     /// Enters a connection that was accepted now and may have waited for that since some time.
-    pub fn enter(self: &Rc<Self>, waited_since: Option<Instant>) -> ClientConnection {
+    pub fn register(self: &Rc<Self>, waited_since: Option<Instant>) -> ClientConnection {
         let now = Instant::now();
         let earliest = now.checked_sub(MOST_WAIT).unwrap_or(now);
         let number = self.last.get() + 1;
@@ -113,8 +113,8 @@
     }
 
     /// How many were told to close and have not yet.
-    pub fn leaving(&self) -> usize {
-        self.all.borrow().values().filter(|state| state.stage.get() == Stage::Leaving).count()
+    pub fn closing_count(&self) -> usize {
+        self.all.borrow().values().filter(|state| state.stage.get() == Stage::Closing).count()
     }
 
     /// Closes the connection whose client has the least use for it: one that has had its last answer, else
@@ -164,50 +164,50 @@
 
 impl ClientConnection {
     /// Notes a new stage. What was told to close stays so only until it turns out to be in use.
-    pub fn stage(&self, stage: Stage) {
+    pub fn set_stage(&self, stage: Stage) {
         // A request's time begins with its first byte, not when all of its head is there.
-        let begun = matches!(self.at(), Stage::New | Stage::Asking) && stage == Stage::Open;
+        let begun = matches!(self.stage(), Stage::New | Stage::ReceivingRequest) && stage == Stage::InRequest;
         if !begun {
             self.state.since.set(Instant::now());
         }
-        self.state.begun.set(stage == Stage::Asking);
-        if stage == Stage::Open {
+        self.state.begun.set(stage == Stage::ReceivingRequest);
+        if stage == Stage::InRequest {
             self.state.asked.set(self.state.asked.get().saturating_add(1));
         }
         self.state.stage.set(stage);
     }
-    pub fn at(&self) -> Stage {
+    pub fn stage(&self) -> Stage {
         self.state.stage.get()
     }
     /// When all of the request that is coming in must be there.
-    pub fn asking_until(&self) -> Instant {
+    pub fn request_deadline(&self) -> Instant {
         self.state.since.get() + ASKING
     }
     /// Waits until the connection is to close, and tells what that ends. Whether a request came meanwhile is
     /// asked of the system: it is not closed on one, read or not.
-    pub async fn dismissed(&self, connection: &Connection) -> CloseReason {
+    pub async fn close_requested(&self, connection: &Connection) -> CloseReason {
         loop {
             self.state.dismiss.notified().await;
-            if self.at() != Stage::Leaving {
+            if self.stage() != Stage::Closing {
                 continue;
             }
             if !self.state.unused() {
                 return match self.state.left.get() {
-                    Stage::New | Stage::Asking => CloseReason::HalfAsked,
+                    Stage::New | Stage::ReceivingRequest => CloseReason::PartialRequest,
                     _ => CloseReason::Answered,
                 };
             }
-            if connection.is_quiet() {
+            if connection.has_no_input() {
                 return CloseReason::Unused;
             }
-            self.stage(Stage::Asking);
+            self.set_stage(Stage::ReceivingRequest);
         }
     }
     /// Notes that something of a request was read.
-    pub fn heard(&self) {
-        match self.at() {
-            Stage::Idle => self.stage(Stage::Asking),
-            Stage::Leaving if self.state.unused() => self.stage(Stage::Asking),
+    pub fn bytes_read(&self) {
+        match self.stage() {
+            Stage::Idle => self.set_stage(Stage::ReceivingRequest),
+            Stage::Closing if self.state.unused() => self.set_stage(Stage::ReceivingRequest),
             _ => self.state.begun.set(true),
         }
     }
--- a/src/bin/brassport/client_stream.rs
+++ b/src/bin/brassport/client_stream.rs
@@ -210,8 +210,8 @@
     }
 
     /// Whether nothing has come that was not handed on: no byte, no end, no error.
-    pub fn is_quiet(&self) -> bool {
-        !self.has_read_ahead() && self.socket.is_quiet()
+    pub fn has_no_input(&self) -> bool {
+        !self.has_read_ahead() && self.socket.has_no_input()
     }
 
     /// Waits until the client has gone, also if its leave stands behind bytes of further requests. Only for a
@@ -227,7 +227,7 @@
                 // A connection that failed has ended.
                 let count = read.await.unwrap_or(0);
                 self.input.borrow_mut().take_in_ahead(count);
-            } else if self.socket.ends_behind_bytes().await {
+            } else if self.socket.wait_for_end_of_stream().await {
                 self.input.borrow_mut().ended = true;
             } else {
                 sleep(END_LOOK).await;
@@ -308,7 +308,7 @@
         let before = buffer.filled().len();
         let read = self.connection.poll_input(context, buffer);
         if buffer.filled().len() > before {
-            self.tracked.heard();
+            self.tracked.bytes_read();
         }
         read
     }
@@ -422,7 +422,7 @@
             tokio::task::yield_now().await;
             // The one thread that runs all stands still until the request is there.
             std::io::Write::write_all(&mut client, b"GET /a HTTP/1.1\r\n\r\n").expect("it is sent");
-            while connection.socket.is_quiet() {
+            while connection.socket.has_no_input() {
                 std::thread::yield_now();
             }
             assert!(!connection.has_left());
--- a/src/bin/brassport/clients.rs
+++ b/src/bin/brassport/clients.rs
@@ -110,7 +110,7 @@
     // Guards against connections that nobody waits on and that hold all descriptors. Those that a client
     // most likely has no more use for go first.
     let spare = |least: usize| {
-        while descriptors.available_permits() + client_connections.leaving() < least {
+        while descriptors.available_permits() + client_connections.closing_count() < least {
             if !client_connections.shed() && !context.backends.shed_idle() {
                 return false;
             }
@@ -128,7 +128,7 @@
             accepted = acceptor.accept() => {
                 empty_before = false;
                 let crowded = !spare(reserve);
-                let tracked = client_connections.enter(accepted.waited_since);
+                let tracked = client_connections.register(accepted.waited_since);
                 connections.spawn_local(connection(accepted, context.clone(), crowded, tracked));
             }
             _ = sweeps.tick() => {
@@ -184,20 +184,20 @@
     let _ = stream.set_nodelay(true);
     let tracked = Rc::new(tracked);
     let socket = Socket::new(stream);
-    let waited_since = waited_since.filter(|_| !socket.is_quiet());
+    let waited_since = waited_since.filter(|_| !socket.has_no_input());
     let client = Connection::new(socket, waited_since);
     let wire = ClientStream::new(client.clone(), tracked.clone());
     let service = service_fn(|request: Request<Incoming>| {
-        tracked.stage(Stage::Open);
+        tracked.set_stage(Stage::InRequest);
         let arrived = client.begin_request(request.body().size_hint().upper().unwrap_or(0));
         let (context, tracked, client) = (context.clone(), tracked.clone(), client.clone());
         async move {
             let response = if crowded {
                 Err(refusal(context.settings.max_retry_after))
             } else {
-                answer(&context, request, tracked.asking_until(), arrived, &client).await
+                answer(&context, request, tracked.request_deadline(), arrived, &client).await
             };
-            tracked.stage(if response.is_err() { Stage::Last } else { Stage::Idle });
+            tracked.set_stage(if response.is_err() { Stage::Last } else { Stage::Idle });
             // What was read behind this request is answered too, so its connection can't end here. Asking
             // whether the client has left reads all that has come.
             let leaving = *context.phase.borrow() != Phase::Serving;
@@ -215,13 +215,13 @@
     let (ended, end) = tokio::select! {
         biased;
         ended = &mut serving => (ended, End::Announced),
-        dismissal = tracked.dismissed(&client) => match dismissal {
+        dismissal = tracked.close_requested(&client) => match dismissal {
             CloseReason::Answered => return End::Dismissed(dismissal),
             // It takes nothing: what would be written now would stand in the middle of an earlier answer.
-            CloseReason::HalfAsked if client.is_write_blocked() => return End::Dismissed(dismissal),
-            CloseReason::HalfAsked => {
+            CloseReason::PartialRequest if client.is_write_blocked() => return End::Dismissed(dismissal),
+            CloseReason::PartialRequest => {
                 // Its last byte may come in this moment: whoever has begun to ask gets an answer.
-                tracked.stage(Stage::Last);
+                tracked.set_stage(Stage::Last);
                 let mut stream = serving.into_parts().io.into_inner();
                 let written = timeout(LAST_ANSWER, stream.write_all(TOO_SLOW)).await;
                 if matches!(written, Ok(Ok(()))) {
@@ -241,8 +241,8 @@
     };
     let end = if ended.is_err() || client.has_ended() { End::ByClient } else { end };
     // Its client has gone, or what it sent is no HTTP and was answered so; else it was closed in order.
-    if ended.is_err() || tracked.at() == Stage::Last {
-        tracked.stage(Stage::Last);
+    if ended.is_err() || tracked.stage() == Stage::Last {
+        tracked.set_stage(Stage::Last);
         last_words(serving.into_parts().io.into_inner(), &tracked, &client).await;
     }
     end
@@ -252,7 +252,7 @@
 async fn last_words(stream: ClientStream, tracked: &ClientConnection, client: &Connection) {
     tokio::select! {
         () = stream.linger() => {}
-        _ = tracked.dismissed(client) => {}
+        _ = tracked.close_requested(client) => {}
     }
 }
 
--- a/src/bin/brassport/config.rs
+++ b/src/bin/brassport/config.rs
@@ -166,7 +166,7 @@
 
 /// Which of the environment and the file goes before the other in what both say.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum First {
+pub enum Precedence {
     /// At the very start: the environment is as new as the file.
     Environment,
     /// Later: the file may have been replaced meanwhile, and the environment is of the start.
@@ -216,7 +216,7 @@
 ///
 /// # Errors
 /// What is missing or makes no sense, or that the file can't be read.
-pub async fn read(first: impl FnOnce() -> First) -> Result<Config, Problem> {
+pub async fn read(first: impl FnOnce() -> Precedence) -> Result<Config, Problem> {
     let path = path()?;
     let read_from = path.clone();
     let reading = spawn_blocking(move || fs::read(read_from));
@@ -250,7 +250,7 @@
 ///
 /// # Errors
 /// What is missing or makes no sense, or that the file can't be read.
-pub async fn read_within(patience: Duration, first: First) -> Result<Config, Problem> {
+pub async fn read_within(patience: Duration, first: Precedence) -> Result<Config, Problem> {
     let until = Instant::now() + patience;
     let mut pauses = Backoff::new();
     loop {
@@ -276,10 +276,10 @@
     env::var("BALANCER_CONFIG").map_err(|_| Problem::Invalid("BALANCER_CONFIG is not set".into()))
 }
 
-fn check(file: File, first: First) -> Result<Config, String> {
+fn check(file: File, first: Precedence) -> Result<Config, String> {
     let address = |name: &str, written: Option<String>| {
         let said = env::var(name).ok();
-        let text = if first == First::File { written.or(said) } else { said.or(written) };
+        let text = if first == Precedence::File { written.or(said) } else { said.or(written) };
         let text = text.ok_or_else(|| format!("{name} is not set"))?;
         text.parse::<SocketAddr>().map_err(|_| format!("{name}: '{text}' is no address with a port"))
     };
--- a/src/bin/brassport/counter.rs
+++ b/src/bin/brassport/counter.rs
@@ -42,7 +42,7 @@
     /// A call ended.
     Ended { key: CounterKey, result: AddResult },
     /// The counter is at another address now. All calls that were made until now have ended.
-    Moved,
+    Replaced,
 }
 
 /// Takes calls in. They are as many as requests in hand allow, and none waits for longer than its time.
@@ -53,7 +53,7 @@
 }
 
 impl Counter {
-    /// The counter, and its line for [`CounterClient::keep`].
+    /// The counter, and its line for [`CounterClient::run`].
     pub fn new(patience: Duration) -> (Counter, CounterClient) {
         let (calls, queue) = unbounded_channel();
         let line = CounterClient { queue, patience, link: None, read: Vec::new(), waiting: VecDeque::new() };
@@ -78,7 +78,7 @@
 
 impl CounterClient {
     /// Carries calls out for ever, at the address that `address` holds, and reports each one's end.
-    pub async fn keep(mut self, mut address: watch::Receiver<Option<SocketAddr>>, report: impl Fn(Report)) {
+    pub async fn run(mut self, mut address: watch::Receiver<Option<SocketAddr>>, report: impl Fn(Report)) {
         let ended = |key, result| report(Report::Ended { key, result });
         let mut calls = Vec::with_capacity(BATCH);
         let mut rest_until = Instant::now();
@@ -115,7 +115,7 @@
                     while let Ok(call) = self.queue.try_recv() {
                         ended(call.key, AddResult::NotAdded);
                     }
-                    report(Report::Moved);
+                    report(Report::Replaced);
                     rest_until = Instant::now();
                 }
                 count = self.queue.recv_many(&mut calls, BATCH) => {
@@ -249,7 +249,7 @@
         };
         tokio::select! {
             () = peer => {}
-            () = line.keep(seen, report) => {}
+            () = line.run(seen, report) => {}
             () = done.notified() => {}
         }
         let got = got.borrow().clone();
@@ -284,7 +284,7 @@
         let (ends, mut got) = unbounded_channel();
         let report = move |report| ends.send(report).expect("the test listens");
         tokio::select! {
-            () = line.keep(seen, report) => {}
+            () = line.run(seen, report) => {}
             end = got.recv() => {
                 assert_eq!(end, Some(Report::Ended { key: 7, result: AddResult::Unknown }));
             }
@@ -299,7 +299,7 @@
         let (ends, mut got) = unbounded_channel();
         let report = move |report| ends.send(report).expect("the test listens");
         tokio::select! {
-            () = line.keep(seen, report) => {}
+            () = line.run(seen, report) => {}
             end = got.recv() => {
                 assert_eq!(end, Some(Report::Ended { key: 7, result: AddResult::NotAdded }));
             }
--- a/src/bin/brassport/dispatcher.rs
+++ b/src/bin/brassport/dispatcher.rs
@@ -6,7 +6,7 @@
 use crate::clock::Clock;
 use crate::counter::{self, Counter};
 use crate::discovery::{List, State, Target};
-use crate::guard::{Guard, Sending, Violation};
+use crate::guard::{Guard, SendConditions, Violation};
 use crate::log;
 use hyper::body::Bytes;
 use hyper::Response;
@@ -254,7 +254,7 @@
     pub fn counter_reported(self: &Rc<Self>, report: counter::Report) {
         self.handle(match report {
             counter::Report::Ended { key, result } => Event::CounterAnswer { key, result },
-            counter::Report::Moved => Event::CounterReplaced,
+            counter::Report::Replaced => Event::CounterReplaced,
         });
     }
 
@@ -358,7 +358,7 @@
         let may_begin = |server_ready| {
             let inner = self.inner.borrow();
             let hand = inner.requests.get(&request);
-            let sending = Sending {
+            let sending = SendConditions {
                 answered: hand.is_none_or(|hand| hand.answer.is_none()),
                 // The system is asked: the runtime may not have looked at the client's socket for a while.
                 client_left: hand.is_some_and(|hand| hand.client.has_left()),
--- a/src/bin/brassport/guard.rs
+++ b/src/bin/brassport/guard.rs
@@ -10,7 +10,7 @@
 
 /// Why an attempt must not begin at this moment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Stop {
+pub enum StopReason {
     /// The request has its answer, or nobody waits for one.
     Answered,
     /// Its client has closed the connection.
@@ -23,8 +23,13 @@
     NoTimeLeft,
 }
 
-const STOPS: [Stop; 5] =
-    [Stop::Answered, Stop::ClientLeft, Stop::WindowOver, Stop::ServerNotReady, Stop::NoTimeLeft];
+const STOPS: [StopReason; 5] = [
+    StopReason::Answered,
+    StopReason::ClientLeft,
+    StopReason::WindowOver,
+    StopReason::ServerNotReady,
+    StopReason::NoTimeLeft,
+];
 
 /// A rule of the service that was broken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -39,7 +44,7 @@
 
 /// What is known when the first byte of an attempt is about to be written.
 #[derive(Debug, Clone, Copy)]
-pub struct Sending {
+pub struct SendConditions {
     pub answered: bool,
     pub client_left: bool,
     pub window_over: bool,
@@ -47,12 +52,12 @@
     pub time_left: bool,
 }
 
-impl Sending {
+impl SendConditions {
     /// The first rule that forbids it.
     ///
     /// # Errors
     /// Which rule that is.
-    pub fn check(self) -> Result<(), Stop> {
+    pub fn check(self) -> Result<(), StopReason> {
         let forbidden =
             [self.answered, self.client_left, self.window_over, !self.server_ready, !self.time_left];
         match STOPS.iter().zip(forbidden).find(|(_, forbidden)| *forbidden) {
@@ -71,7 +76,7 @@
 
 impl Guard {
     /// Whether an attempt of a request may begin now; notes it if not.
-    pub fn may_send(&self, request: &str, sending: Sending) -> bool {
+    pub fn may_send(&self, request: &str, sending: SendConditions) -> bool {
         let Err(stop) = sending.check() else { return true };
         log::trace(request, || format!("attempt stopped: {stop:?}"));
         let count = &self.stopped[stop as usize];
@@ -100,7 +105,7 @@
 mod tests {
     use super::*;
 
-    const ALLOWED: Sending = Sending {
+    const ALLOWED: SendConditions = SendConditions {
         answered: false,
         client_left: false,
         window_over: false,
@@ -113,11 +118,11 @@
         let guard = Guard::default();
         assert!(guard.may_send("a", ALLOWED));
         let forbidden = [
-            Sending { answered: true, ..ALLOWED },
-            Sending { client_left: true, ..ALLOWED },
-            Sending { window_over: true, ..ALLOWED },
-            Sending { server_ready: false, ..ALLOWED },
-            Sending { time_left: false, ..ALLOWED },
+            SendConditions { answered: true, ..ALLOWED },
+            SendConditions { client_left: true, ..ALLOWED },
+            SendConditions { window_over: true, ..ALLOWED },
+            SendConditions { server_ready: false, ..ALLOWED },
+            SendConditions { time_left: false, ..ALLOWED },
         ];
         for (sending, stop) in forbidden.into_iter().zip(STOPS) {
             assert_eq!(sending.check(), Err(stop));
--- a/src/bin/brassport/http_connection.rs
+++ b/src/bin/brassport/http_connection.rs
@@ -83,7 +83,7 @@
             Poll::Ready(())
         })
         .await;
-        self.connection.is_some() && self.sender.is_ready() && self.socket.is_quiet()
+        self.connection.is_some() && self.sender.is_ready() && self.socket.has_no_input()
     }
 }
 
@@ -138,7 +138,7 @@
         answered.send(()).expect("the peer waits");
         // The one thread that runs all stands still here.
         came.recv().expect("the peer has written");
-        while !late.is_empty() && link.socket.is_quiet() {
+        while !late.is_empty() && link.socket.has_no_input() {
             thread::yield_now();
         }
         link.is_usable().await
--- a/src/bin/brassport/main.rs
+++ b/src/bin/brassport/main.rs
@@ -139,7 +139,7 @@
         .map_err(|error| error.to_string())?;
     let (counter, seen) = watch::channel(config.counter);
     let counted = dispatcher.clone();
-    spawn_local(line.keep(seen, move |report| counted.counter_reported(report)));
+    spawn_local(line.run(seen, move |report| counted.counter_reported(report)));
     dispatcher.servers(ListKind::Cached, config.known);
     spawn_local(dispatcher.clone().keep_time());
     let Subscription { source, updates } = discovery;
--- a/src/bin/brassport/reload.rs
+++ b/src/bin/brassport/reload.rs
@@ -1,6 +1,6 @@
 //! SIGHUP: the configuration is read again and what may change under way is put in force.
 
-use crate::config::{self, Config, First, Problem};
+use crate::config::{self, Config, Precedence, Problem};
 use crate::log;
 use crate::retry::Backoff;
 use tokio::signal::unix::Signal;
@@ -13,7 +13,7 @@
         let mut pauses = Backoff::new();
         let mut reported = false;
         loop {
-            let problem = match config::read(|| First::File).await {
+            let problem = match config::read(|| Precedence::File).await {
                 Ok(config) => {
                     apply(config);
                     break;
--- a/src/bin/brassport/socket.rs
+++ b/src/bin/brassport/socket.rs
@@ -67,13 +67,13 @@
     }
 
     /// Whether the peer has ended its sending behind bytes that stand unread, as far as the runtime has looked.
-    pub async fn ends_behind_bytes(&self) -> bool {
+    pub async fn wait_for_end_of_stream(&self) -> bool {
         self.0.ready(Interest::READABLE).await.is_ok_and(|ready| ready.is_read_closed())
     }
 
     /// Whether nothing stands in it: no byte, no end, no error. It asks the system: what the runtime knows
     /// of a socket is as old as its last look at all of them.
-    pub fn is_quiet(&self) -> bool {
+    pub fn has_no_input(&self) -> bool {
         let socket = SockRef::from(&*self.0);
         let peeked = loop {
             match socket.peek(&mut [std::mem::MaybeUninit::uninit()]) {
--- a/src/bin/brassport/startup.rs
+++ b/src/bin/brassport/startup.rs
@@ -1,7 +1,7 @@
 //! The start of a gateway: its configuration, its listening socket, and discovery.
 
 use crate::acceptor;
-use crate::config::{self, Config, First, Problem};
+use crate::config::{self, Config, Precedence, Problem};
 use crate::discovery::{self, Service, Source, Subscription};
 use crate::retry;
 use springusher::Settings;
@@ -50,7 +50,8 @@
 async fn read_and_follow() -> Result<(Config, Subscription), Problem> {
     let began = Instant::now();
     let is_late = || began.elapsed() >= FIRST_READ_PATIENCE;
-    let mut first_reading = pin!(config::read(|| if is_late() { First::File } else { First::Environment }));
+    let mut first_reading =
+        pin!(config::read(|| if is_late() { Precedence::File } else { Precedence::Environment }));
     let first = timeout(FIRST_READ_PATIENCE, &mut first_reading).await.ok();
     match first {
         Some(Ok(config)) => {
@@ -72,7 +73,9 @@
     let patience_left = START_TIMEOUT.saturating_sub(began.elapsed());
     let config = match config {
         // By now the file may have been replaced, and is newer than the environment.
-        Err(problem) if problem.is_transient() => config::read_within(patience_left, First::File).await?,
+        Err(problem) if problem.is_transient() => {
+            config::read_within(patience_left, Precedence::File).await?
+        }
         config => config?,
     };
     let discovery = match early {
--- a/src/counter_calls.rs
+++ b/src/counter_calls.rs
@@ -18,13 +18,13 @@
     }
 
     /// Makes a call.
-    pub fn make(&mut self, key: CounterKey, amount: f64, ttl: Millis, pending: T) {
+    pub fn start(&mut self, key: CounterKey, amount: f64, ttl: Millis, pending: T) {
         self.out.entry(key).or_default().push_back(pending);
         self.due.push(Action::AddToCounter { key, amount, ttl });
     }
 
     /// Ends the oldest call for that name.
-    pub fn ended(&mut self, key: CounterKey) -> Option<T> {
+    pub fn finish(&mut self, key: CounterKey) -> Option<T> {
         let calls = self.out.get_mut(&key)?;
         let call = calls.pop_front();
         if calls.is_empty() {
@@ -34,7 +34,7 @@
     }
 
     /// Hands over the calls that are due.
-    pub fn hand_over(&mut self, actions: &mut Vec<Action>) {
+    pub fn take_actions(&mut self, actions: &mut Vec<Action>) {
         actions.append(&mut self.due);
     }
 }
--- a/src/counter_limits.rs
+++ b/src/counter_limits.rs
@@ -104,12 +104,12 @@
     }
 
     /// Whether the counter is asked, by a coin between 0 and 1.
-    pub fn is_asked(&self, coin: f64) -> bool {
+    pub fn should_ask(&self, coin: f64) -> bool {
         coin < self.asked
     }
 
     /// The share of such requests that the buckets let in lately, all of them where there are no buckets.
-    pub fn admitted(&self, request: &Request) -> f64 {
+    pub fn admitted_share(&self, request: &Request) -> f64 {
         self.admitted[request.plan][usize::from(request.is_client_retry)]
     }
 
@@ -119,28 +119,28 @@
     }
 
     /// Asks for a place.
-    pub fn enter(&mut self, now: Millis, request: &Request) {
+    pub fn acquire_slot(&mut self, now: Millis, request: &Request) {
         let (key, _) = self.number(now, self.stretch, request);
         let call = Call { purpose: Purpose::Ask(*request), amount: 1.0 };
-        self.calls.make(key & !BUCKET, 1.0, 2.0 * self.stretch, call);
+        self.calls.start(key & !BUCKET, 1.0, 2.0 * self.stretch, call);
     }
 
     /// Draws a request's units from its customer's bucket, and those of others that do not ask.
-    pub fn draw(&mut self, now: Millis, request: &Request, plan: &Plan) {
+    pub fn draw_units(&mut self, now: Millis, request: &Request, plan: &Plan) {
         let (key, _) = self.number(now, fill(plan), request);
         let units = request.units / self.asked;
         let call = Call { purpose: Purpose::Ask(*request), amount: units };
-        self.calls.make(key | BUCKET, units, LIFE, call);
+        self.calls.start(key | BUCKET, units, LIFE, call);
     }
 
     /// Keeps what a request has drawn: it is sent on.
-    pub fn spend(&mut self, request: RequestId) {
+    pub fn keep_drawn_units(&mut self, request: RequestId) {
         let drawn = self.held.range((request, BUCKET)..=(request, u64::MAX)).next().map(|(held, _)| *held);
         drawn.map(|key| self.held.remove(&key));
     }
 
     /// Gives back all that a request holds.
-    pub fn leave(&mut self, now: Millis, request: RequestId) {
+    pub fn release(&mut self, now: Millis, request: RequestId) {
         while let Some((&(id, key), &amount)) = self.held.range((request, 0)..=(request, u64::MAX)).next() {
             self.held.remove(&(id, key));
             self.give_back(key, amount, now + self.stretch);
@@ -149,11 +149,11 @@
 
     fn give_back(&mut self, key: CounterKey, amount: f64, until: Millis) {
         let call = Call { purpose: Purpose::Return { until }, amount };
-        self.calls.make(key, -amount, 2.0 * self.stretch, call);
+        self.calls.start(key, -amount, 2.0 * self.stretch, call);
     }
 
     /// Makes the calls again that give back what the counter would not take.
-    pub fn return_owed(&mut self, now: Millis) {
+    pub fn retry_returns(&mut self, now: Millis) {
         self.returns.due = false;
         for (key, (amount, until)) in std::mem::take(&mut self.returns.owed) {
             if now < until {
@@ -164,18 +164,18 @@
 
     /// The counter is another one now. Places that requests hold are taken again there, or its gauges would
     /// stand below what is out; what the old one is owed, or has let out of its buckets, means nothing to it.
-    pub fn moved(&mut self) {
+    pub fn counter_replaced(&mut self) {
         self.returns.owed.clear();
         for ((request, key), amount) in std::mem::take(&mut self.held) {
             if key & BUCKET == 0 {
                 let call = Call { purpose: Purpose::TakeAgain(request), amount };
-                self.calls.make(key, amount, 2.0 * self.stretch, call);
+                self.calls.start(key, amount, 2.0 * self.stretch, call);
             }
         }
     }
 
     /// Takes an answer in: the request that it is about, if any, and what it tells.
-    pub fn counted(
+    pub fn call_ended(
         &mut self,
         now: Millis,
         key: CounterKey,
@@ -185,7 +185,7 @@
         let total = if let AddResult::Total(total) = result { Some(total) } else { None };
         let change = if total.is_some() { REGAIN } else { -SHED * self.asked };
         self.asked = (self.asked + change).clamp(LEAST_ASKED, 1.0);
-        let Call { purpose, amount } = self.calls.ended(key)?;
+        let Call { purpose, amount } = self.calls.finish(key)?;
         let (id, waits) = match purpose {
             Purpose::Ask(request) => (request.id, Some(request)),
             Purpose::TakeAgain(id) => (id, None),
@@ -213,9 +213,9 @@
         Some((request.id, LimitAnswer::WithinBucket(within)))
     }
 
-    /// Hands over the calls that are due; `token` names the timer for [`CounterLimits::return_owed`].
-    pub fn hand_over(&mut self, now: Millis, token: u64, actions: &mut Vec<Action>) {
-        self.calls.hand_over(actions);
+    /// Hands over the calls that are due; `token` names the timer for [`CounterLimits::retry_returns`].
+    pub fn take_actions(&mut self, now: Millis, token: u64, actions: &mut Vec<Action>) {
+        self.calls.take_actions(actions);
         if !self.returns.owed.is_empty() && !self.returns.due {
             self.returns.due = true;
             actions.push(Action::Timer { at: now + self.returns.pause, token });
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -155,7 +155,7 @@
     no_server: u32,
     requests: BTreeMap<RequestId, Open>,
     fleet: Fleet,
-    counts: CounterLimits,
+    counter_limits: CounterLimits,
     /// Recent share of each class in the offered units, and the classes from the highest worth down.
     class_mix: Vec<f64>,
     class_order: Vec<usize>,
@@ -212,7 +212,7 @@
             no_server: 0,
             requests: BTreeMap::new(),
             fleet: Fleet::default(),
-            counts: CounterLimits::new(
+            counter_limits: CounterLimits::new(
                 settings.classes.iter().map(|class| class.deadline).fold(0.0, f64::max),
                 settings.plans.len(),
             ),
@@ -245,15 +245,15 @@
             Event::Timer(token) => match (token % 4, token / 4) {
                 (DEADLINE, request) => self.give_up(request, actions),
                 (REVIEW, request) => self.review(request, actions),
-                (RETURNS, _) => self.counts.return_owed(self.now),
+                (RETURNS, _) => self.counter_limits.retry_returns(self.now),
                 _ => actions.push(Action::WatchServers),
             },
             Event::Servers { kind, entries } => self.update_servers(kind, entries, actions),
             Event::CounterAnswer { key, result } => self.counted(key, result, actions),
-            Event::WallClockStepped { offset: ahead } => self.counts.set_clock(ahead),
-            Event::CounterReplaced => self.counts.moved(),
+            Event::WallClockStepped { offset: ahead } => self.counter_limits.set_clock(ahead),
+            Event::CounterReplaced => self.counter_limits.counter_replaced(),
         }
-        self.counts.hand_over(self.now, RETURNS, actions);
+        self.counter_limits.take_actions(self.now, RETURNS, actions);
     }
 
     fn arrive(&mut self, mut request: Request, actions: &mut Vec<Action>) {
@@ -284,7 +284,7 @@
         let plan = self.settings.plans[request.plan];
         let blind = self.settings.meter_period <= 0.0 && plan.rate > 0.0 && plan.excess_cost > 0.0;
         if blind && self.asks_counter(&request) {
-            self.counts.draw(self.now, &request, &plan);
+            self.counter_limits.draw_units(self.now, &request, &plan);
             return;
         }
         let share = self.without_counter(&request);
@@ -295,14 +295,14 @@
     fn without_counter(&mut self, request: &Request) -> f64 {
         let share = self.within_quota(request);
         if request.spread > 1 {
-            share.min(self.counts.admitted(request))
+            share.min(self.counter_limits.admitted_share(request))
         } else {
             share
         }
     }
 
     fn asks_counter(&mut self, request: &Request) -> bool {
-        self.settings.counter && request.spread > 1 && self.counts.is_asked(self.rng.rand_float())
+        self.settings.counter && request.spread > 1 && self.counter_limits.should_ask(self.rng.rand_float())
     }
 
     /// Admits a request at random, where the quota lets that share of its customer's requests in.
@@ -553,7 +553,7 @@
             return;
         }
         if plan.max_concurrent > 0 && self.asks_counter(&request) {
-            self.counts.enter(self.now, &request);
+            self.counter_limits.acquire_slot(self.now, &request);
             return;
         }
         self.send_first(id, actions);
@@ -561,13 +561,13 @@
 
     /// Goes on with a request that asked the counter. Without word from it what is known here has to do.
     fn counted(&mut self, key: CounterKey, result: AddResult, actions: &mut Vec<Action>) {
-        let told = self.counts.counted(self.now, key, result, &self.settings.plans);
+        let told = self.counter_limits.call_ended(self.now, key, result, &self.settings.plans);
         let Some((id, told)) = told else { return };
         if matches!(told, LimitAnswer::Reacquired) && self.requests.contains_key(&id) {
             return;
         }
         let Some(open) = self.requests.get(&id).filter(|open| !open.done) else {
-            self.counts.leave(self.now, id);
+            self.counter_limits.release(self.now, id);
             return;
         };
         let request = open.request;
@@ -606,7 +606,7 @@
                 }
                 let most = COPY_COST.max(self.fleet.len() as f64);
                 self.retry_budget = (self.retry_budget + RETRY_SHARE).min(most);
-                self.counts.spend(id);
+                self.counter_limits.keep_drawn_units(id);
                 self.send(id, server, actions);
             }
         }
@@ -768,7 +768,7 @@
     fn forget_if_over(&mut self, id: RequestId) {
         if self.requests.get(&id).is_some_and(|open| open.done && open.attempts.iter().all(|a| !a.out)) {
             self.requests.remove(&id);
-            self.counts.leave(self.now, id);
+            self.counter_limits.release(self.now, id);
         }
     }
 
