--- a/fault-soak/src/client.rs
+++ b/fault-soak/src/client.rs
@@ -1,11 +1,11 @@
 //! Clients: usual ones, and such that leave, write slowly, pipeline, stop half way, or make no sense.
 
-use crate::gateway::{Gateway, Intake};
-use crate::http::{Broken, Reader};
-use crate::ledger::{BadClient, Carrier, Ending, Ledger, Millis, RequestId, RequestRecord};
+use crate::event_log::{BadClient, ConnectionUse, EventLog, Millis, Outcome, RequestId, RequestRecord};
+use crate::gateway::{Availability, Gateway};
+use crate::http::{ReadError, Reader};
 use crate::proxy::reset_on_close;
 use crate::server::is_served_body;
-use crate::site::{Site, CUSTOMERS, LIMITED_SHARE, PLANS};
+use crate::site::{Site, ALL_PLANS_SHARE, CUSTOMERS_PER_PLAN, PLANS};
 use oorandom::Rand64;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
@@ -60,11 +60,11 @@
     /// The gateway that they ask.
     pub gateway: Arc<Gateway>,
     site: Arc<Site>,
-    ledger: Arc<Ledger>,
-    kept: Mutex<Vec<(Intake, Reader<TcpStream>)>>,
+    event_log: Arc<EventLog>,
+    kept: Mutex<Vec<(Availability, Reader<TcpStream>)>>,
     ids: Arc<AtomicU64>,
     /// Most clients leave early while this is set.
-    pub leaving: Arc<AtomicBool>,
+    pub most_leave: Arc<AtomicBool>,
 }
 
 struct Draft {
@@ -78,18 +78,18 @@
     pub fn new(
         gateway: Arc<Gateway>,
         site: Arc<Site>,
-        ledger: Arc<Ledger>,
+        event_log: Arc<EventLog>,
         ids: Arc<AtomicU64>,
-        leaving: Arc<AtomicBool>,
+        most_leave: Arc<AtomicBool>,
     ) -> Arc<Clients> {
-        Arc::new(Clients { gateway, site, ledger, kept: Mutex::new(Vec::new()), ids, leaving })
+        Arc::new(Clients { gateway, site, event_log, kept: Mutex::new(Vec::new()), ids, most_leave })
     }
 
     /// Makes requests until the load ends: arrivals do not wait for answers.
     pub async fn load(self: Arc<Self>, seed: u64) {
         let mut rng = Rand64::new(u128::from(seed));
         let mut open = tokio::task::JoinSet::new();
-        while self.ledger.now() < self.site.span {
+        while self.event_log.now() < self.site.load_duration {
             let gap = -(1.0 - rng.rand_float()).ln() / self.site.rate;
             sleep(Duration::from_secs_f64(gap)).await;
             while open.try_join_next().is_some() {}
@@ -101,8 +101,8 @@
     }
 
     /// So many clients at once, each on a connection of its own: every other one asks, the rest say nothing.
-    pub async fn crowd(self: Arc<Self>, count: usize, seed: u64) {
-        let Some(intake) = self.gateway.intake() else { return };
+    pub async fn connection_burst(self: Arc<Self>, count: usize, seed: u64) {
+        let Some(availability) = self.gateway.availability() else { return };
         let mut rng = Rand64::new(u128::from(seed));
         let mut crowd = tokio::task::JoinSet::new();
         for nth in 0..count {
@@ -110,9 +110,9 @@
             let mut own = Rand64::new(u128::from(rng.rand_u64()));
             crowd.spawn(async move {
                 if nth % 2 == 0 {
-                    client.ask(Behaviour::Usual, intake, &mut own).await;
+                    client.ask(Behaviour::Usual, availability, &mut own).await;
                 } else {
-                    client.bad(Behaviour::Mute, intake, &mut own).await;
+                    client.bad(Behaviour::Mute, availability, &mut own).await;
                 }
             });
         }
@@ -121,7 +121,7 @@
 
     fn behaviour(&self, rng: &mut Rand64) -> Behaviour {
         let within = |rng: &mut Rand64, most: f64| most * rng.rand_float();
-        if self.leaving.load(Ordering::Relaxed) && rng.rand_float() < 0.7 {
+        if self.most_leave.load(Ordering::Relaxed) && rng.rand_float() < 0.7 {
             return Behaviour::Leave { after: within(rng, 60.0), reset: rng.rand_float() < 0.5 };
         }
         let behind = rng.rand_float() < 0.5;
@@ -147,43 +147,49 @@
     }
 
     async fn one(&self, mut rng: Rand64) {
-        let Some(intake) = self.gateway.intake() else { return };
+        let Some(availability) = self.gateway.availability() else { return };
         let behaviour = self.behaviour(&mut rng);
         match behaviour {
             Behaviour::Half | Behaviour::Noise | Behaviour::Mute => {
-                self.bad(behaviour, intake, &mut rng).await
+                self.bad(behaviour, availability, &mut rng).await
             }
-            _ => self.ask(behaviour, intake, &mut rng).await,
+            _ => self.ask(behaviour, availability, &mut rng).await,
         }
     }
 
-    fn draft(&self, rng: &mut Rand64, intake: Intake, carrier: Carrier, behaviour: Behaviour) -> Draft {
+    fn draft(
+        &self,
+        rng: &mut Rand64,
+        availability: Availability,
+        connection_use: ConnectionUse,
+        behaviour: Behaviour,
+    ) -> Draft {
         let id = self.ids.fetch_add(1, Ordering::Relaxed);
         let class = &self.site.classes[rng.rand_range(0..self.site.classes.len() as u64) as usize];
         // Most customers are far from any limit.
-        let plan = if rng.rand_float() < 1.0 - LIMITED_SHARE {
+        let plan = if rng.rand_float() < 1.0 - ALL_PLANS_SHARE {
             0
         } else {
             rng.rand_range(0..PLANS.len() as u64) as usize
         };
-        let customer = (plan as u64 + 1) * 0x1000 + rng.rand_range(0..CUSTOMERS);
-        let patience = match behaviour {
+        let customer = (plan as u64 + 1) * 0x1000 + rng.rand_range(0..CUSTOMERS_PER_PLAN);
+        let client_timeout = match behaviour {
             Behaviour::Hurried => (1.0 + 40.0 * rng.rand_float()).round(),
             _ => (class.deadline * (0.3 + 0.7 * rng.rand_float())).round(),
         };
-        let method = if class.effect == crate::ledger::Effect::Free { "GET" } else { "POST" };
+        let method = if class.semantics == crate::event_log::Semantics::Idempotent { "GET" } else { "POST" };
         let most = if behaviour == Behaviour::Big { 65_000 } else { 400 };
         let body =
             if method == "POST" { "x".repeat(rng.rand_range(0..most) as usize) } else { String::new() };
         let mut head = format!(
             "{method} /{name}/{id} HTTP/1.1\r\nHost: backend.local\r\nX-Request-Id: {id:016x}\r\nX-Class: {name}\r\n\
-             Plan: {plan}\r\nCookie: client={customer:016x}\r\nX-Deadline: {patience}m\r\n\
+             Plan: {plan}\r\nCookie: client={customer:016x}\r\nX-Deadline: {client_timeout}m\r\n\
              Quota-Info: units=1,spread={spread},first=0\r\n",
             name = class.name,
             plan = PLANS[plan].name(),
             spread = self.site.gateways,
         );
-        if class.effect == crate::ledger::Effect::Keyed {
+        if class.semantics == crate::event_log::Semantics::Keyed {
             head.push_str(&format!("Idempotency-Key: {id:032x}\r\n"));
         }
         if behaviour == Behaviour::HideHeaders {
@@ -196,42 +202,44 @@
         let record = RequestRecord {
             id,
             gateway: self.gateway.index,
-            life: intake.life,
+            incarnation: availability.incarnation,
             customer,
             plan,
-            effect: class.effect,
-            carrier,
+            semantics: class.semantics,
+            connection_use,
             port: 0,
-            copied: behaviour == Behaviour::Twice,
-            sent_at: self.ledger.now(),
-            patience,
-            turn_at: 0.0,
+            sent_twice: behaviour == Behaviour::Twice,
+            sent_at: self.event_log.now(),
+            client_timeout,
+            previous_response_at: 0.0,
             left_at: None,
-            ending: None,
+            outcome: None,
         };
         Draft { id, record, bytes }
     }
 
     /// A connection to the gateway, and whether it was used before.
-    async fn connection(&self, intake: Intake) -> Option<(Reader<TcpStream>, Carrier)> {
+    async fn connection(&self, availability: Availability) -> Option<(Reader<TcpStream>, ConnectionUse)> {
         loop {
-            let kept = self.kept.lock().expect("no one panics while holding it").pop();
+            let kept = self.kept.lock().expect("lock not poisoned").pop();
             match kept {
-                Some((of, reader)) if of.life == intake.life => return Some((reader, Carrier::Reused)),
+                Some((of, reader)) if of.incarnation == availability.incarnation => {
+                    return Some((reader, ConnectionUse::Reused))
+                }
                 Some(_) => {}
                 None => break,
             }
         }
-        if !intake.connects {
+        if !availability.accepts_connections {
             return None;
         }
         let stream = TcpStream::connect(self.gateway.address).await.ok()?;
         let _ = stream.set_nodelay(true);
-        Some((Reader::new(stream), Carrier::New))
+        Some((Reader::new(stream), ConnectionUse::New))
     }
 
-    async fn ask(&self, behaviour: Behaviour, intake: Intake, rng: &mut Rand64) {
-        let Some((mut reader, carrier)) = self.connection(intake).await else { return };
+    async fn ask(&self, behaviour: Behaviour, availability: Availability, rng: &mut Rand64) {
+        let Some((mut reader, connection_use)) = self.connection(availability).await else { return };
         let count = match behaviour {
             Behaviour::Pipeline { count, .. } => count,
             Behaviour::Flood { .. } => 60,
@@ -239,8 +247,8 @@
         };
         let mut drafts = Vec::new();
         for nth in 0..count {
-            let carrier = if nth == 0 { carrier } else { Carrier::Pipelined };
-            drafts.push(self.draft(rng, intake, carrier, behaviour));
+            let connection_use = if nth == 0 { connection_use } else { ConnectionUse::Pipelined };
+            drafts.push(self.draft(rng, availability, connection_use, behaviour));
         }
         let all: Vec<u8> = drafts.iter().flat_map(|draft| draft.bytes.iter().copied()).collect();
         if let Behaviour::Slow { over } = behaviour {
@@ -249,9 +257,9 @@
                 return;
             }
         }
-        let now = self.ledger.now();
+        let now = self.event_log.now();
         let port = reader.stream.local_addr().map_or(0, |address| address.port());
-        self.ledger.with(|records| {
+        self.event_log.with(|records| {
             for draft in &drafts {
                 let record = RequestRecord { sent_at: now, port, ..draft.record.clone() };
                 records.requests.insert(draft.id, record);
@@ -266,11 +274,11 @@
             _ => None,
         };
         if behaviour == Behaviour::HalfClose {
-            let left_at = self.ledger.now();
-            self.ledger.request(drafts[0].id, |request| request.left_at = Some(left_at));
+            let left_at = self.event_log.now();
+            self.event_log.request(drafts[0].id, |request| request.left_at = Some(left_at));
             let _ = reader.stream.shutdown().await;
             // Nothing more can be sent on it.
-            let _ = timeout(Duration::from_millis(500), reader.message()).await;
+            let _ = timeout(Duration::from_millis(500), reader.read_message()).await;
             return;
         }
         let leave = match behaviour {
@@ -284,15 +292,15 @@
             if reset {
                 reset_on_close(&reader.stream);
             }
-            let left_at = self.ledger.now();
+            let left_at = self.event_log.now();
             drop(reader);
             for draft in &drafts {
-                self.ledger.request(draft.id, |request| request.left_at = Some(left_at));
+                self.event_log.request(draft.id, |request| request.left_at = Some(left_at));
             }
             return;
         }
         let slow = behaviour == Behaviour::SlowReader;
-        self.read_answers(reader, &drafts, intake, slow).await;
+        self.read_answers(reader, &drafts, availability, slow).await;
         drop(second);
     }
 
@@ -325,24 +333,24 @@
         &self,
         mut reader: Reader<TcpStream>,
         drafts: &[Draft],
-        intake: Intake,
+        availability: Availability,
         slow: bool,
     ) {
         if slow {
             read_late(&reader.stream).await;
         }
-        let mut turn_at = 0.0;
+        let mut previous_response_at = 0.0;
         for (nth, draft) in drafts.iter().enumerate() {
-            self.ledger.request(draft.id, |request| request.turn_at = turn_at);
-            let wait = Duration::from_secs_f64((draft.record.patience + LONGER) / 1000.0);
-            let ending = match timeout(wait, reader.message()).await {
+            self.event_log.request(draft.id, |request| request.previous_response_at = previous_response_at);
+            let wait = Duration::from_secs_f64((draft.record.client_timeout + LONGER) / 1000.0);
+            let outcome = match timeout(wait, reader.read_message()).await {
                 Ok(Ok(answer)) => {
-                    let genuine = is_served_body(draft.id, &answer.body);
+                    let body_matches = is_served_body(draft.id, &answer.body);
                     let closes = answer.header("connection") == Some("close");
-                    let now = self.ledger.now();
-                    let ending = Ending::Answer { status: answer.status(), genuine };
-                    self.ledger.request(draft.id, |request| request.ending = Some((ending, now)));
-                    turn_at = now;
+                    let now = self.event_log.now();
+                    let outcome = Outcome::Response { status: answer.status(), body_matches };
+                    self.event_log.request(draft.id, |request| request.outcome = Some((outcome, now)));
+                    previous_response_at = now;
                     if closes {
                         self.rest_was_announced(&drafts[nth + 1..]);
                         return;
@@ -350,54 +358,60 @@
                     continue;
                 }
                 Ok(Err(broken)) => ending_of(&broken),
-                Err(_) => Ending::Silence,
+                Err(_) => Outcome::NoResponse,
             };
-            let now = self.ledger.now();
+            let now = self.event_log.now();
             for rest in &drafts[nth..] {
-                self.ledger.request(rest.id, |request| request.ending = Some((ending.clone(), now)));
+                self.event_log.request(rest.id, |request| request.outcome = Some((outcome.clone(), now)));
             }
             return;
         }
-        let mut kept = self.kept.lock().expect("no one panics while holding it");
+        let mut kept = self.kept.lock().expect("lock not poisoned");
         if kept.len() < KEPT {
-            kept.push((intake, reader));
+            kept.push((availability, reader));
         }
     }
 
     /// What was pipelined behind an answer that closes its connection was not taken, if it was not read.
     fn rest_was_announced(&self, rest: &[Draft]) {
-        let now = self.ledger.now();
+        let now = self.event_log.now();
         for draft in rest {
-            let ending = Ending::Closed { reset: false };
-            self.ledger.request(draft.id, |request| request.ending = Some((ending, now)));
+            let outcome = Outcome::Closed { reset: false };
+            self.event_log.request(draft.id, |request| request.outcome = Some((outcome, now)));
         }
     }
 
-    async fn bad(&self, behaviour: Behaviour, intake: Intake, rng: &mut Rand64) {
-        if !intake.connects {
+    async fn bad(&self, behaviour: Behaviour, availability: Availability, rng: &mut Rand64) {
+        if !availability.accepts_connections {
             return;
         }
-        let began = self.ledger.now();
+        let connected_at = self.event_log.now();
         let Ok(mut stream) = TcpStream::connect(self.gateway.address).await else { return };
-        let (what, bytes): (&str, Vec<u8>) = match behaviour {
+        let (action, bytes): (&str, Vec<u8>) = match behaviour {
             Behaviour::Half => {
-                let bytes = self.draft(rng, intake, Carrier::New, behaviour).bytes;
+                let bytes = self.draft(rng, availability, ConnectionUse::New, behaviour).bytes;
                 ("half a request", bytes[..bytes.len() / 2].to_vec())
             }
             Behaviour::Noise => ("noise", b"\x00\x01 what is this\r\n\r\n".to_vec()),
             _ => ("nothing", Vec::new()),
         };
-        let place = self.ledger.with(|records| {
-            let (gateway, life) = (self.gateway.index, intake.life);
-            records.bad_clients.push(BadClient { gateway, life, what, began, ended: None });
+        let place = self.event_log.with(|records| {
+            let (gateway, incarnation) = (self.gateway.index, availability.incarnation);
+            records.bad_clients.push(BadClient {
+                gateway,
+                incarnation,
+                action,
+                connected_at,
+                ended_at: None,
+            });
             records.bad_clients.len() - 1
         });
         let _ = stream.write_all(&bytes).await;
         let mut reader = Reader::new(stream);
         let wait = Duration::from_millis(6000);
-        if timeout(wait, reader.first_byte()).await.is_ok() {
-            let now = self.ledger.now();
-            self.ledger.with(|records| records.bad_clients[place].ended = Some(now));
+        if timeout(wait, reader.wait_for_byte()).await.is_ok() {
+            let now = self.event_log.now();
+            self.event_log.with(|records| records.bad_clients[place].ended_at = Some(now));
         }
     }
 }
@@ -411,12 +425,12 @@
     }
 }
 
-fn ending_of(broken: &Broken) -> Ending {
-    Ending::Closed { reset: broken.is_reset() }
+fn ending_of(broken: &ReadError) -> Outcome {
+    Outcome::Closed { reset: broken.is_reset() }
 }
 
 /// Connects idly to a gateway until `until` resolves: as many connections as it takes.
-pub async fn idle_crowd(gateway: Arc<Gateway>, count: usize, span: Duration) {
+pub async fn open_idle_connections(gateway: Arc<Gateway>, count: usize, span: Duration) {
     let mut crowd = Vec::new();
     for _ in 0..count {
         if let Ok(Ok(stream)) = timeout(Duration::from_millis(50), TcpStream::connect(gateway.address)).await
--- a/fault-soak/src/counter.rs
+++ b/fault-soak/src/counter.rs
@@ -11,18 +11,18 @@
 
 /// What the counter does with calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Mood {
+pub enum CounterBehaviour {
     /// Adds and answers.
     #[default]
-    Usual,
+    Normal,
     /// Turns calls away.
     Busy,
     /// Adds and never answers.
     Silent,
     /// Adds and answers without a number.
-    Spoilt,
+    Malformed,
     /// Closes connections.
-    Down,
+    Disconnect,
 }
 
 /// A connection that has stood idle for so long is closed.
@@ -39,7 +39,7 @@
 pub struct Counter {
     /// Where it listens.
     pub address: SocketAddr,
-    mood: Arc<Mutex<Mood>>,
+    behaviour: Arc<Mutex<CounterBehaviour>>,
 }
 
 impl Counter {
@@ -47,23 +47,27 @@
     pub async fn start() -> Counter {
         let listener = listen(Ipv4Addr::new(127, 88, 0, 3)).expect("a free port");
         let address = listener.local_addr().expect("a bound socket has an address");
-        let mood = Arc::new(Mutex::new(Mood::Usual));
-        let (seen, numbers) = (mood.clone(), Arc::default());
+        let behaviour = Arc::new(Mutex::new(CounterBehaviour::Normal));
+        let (seen, numbers) = (behaviour.clone(), Arc::default());
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 tokio::spawn(serve(stream, Arc::clone(&seen), Arc::clone(&numbers)));
             }
         });
-        Counter { address, mood }
+        Counter { address, behaviour }
     }
 
     /// Changes what it does from the next call on.
-    pub fn behave(&self, mood: Mood) {
-        *self.mood.lock().expect("no one panics while holding it") = mood;
+    pub fn set_behaviour(&self, behaviour: CounterBehaviour) {
+        *self.behaviour.lock().expect("lock not poisoned") = behaviour;
     }
 }
 
-async fn serve(stream: TcpStream, mood: Arc<Mutex<Mood>>, numbers: Arc<Mutex<HashMap<String, Number>>>) {
+async fn serve(
+    stream: TcpStream,
+    behaviour: Arc<Mutex<CounterBehaviour>>,
+    numbers: Arc<Mutex<HashMap<String, Number>>>,
+) {
     let _ = stream.set_nodelay(true);
     let mut stream = BufReader::new(stream);
     loop {
@@ -72,16 +76,18 @@
             Ok(Ok(count)) if count > 0 => {}
             _ => return,
         }
-        let mood = *mood.lock().expect("no one panics while holding it");
-        let answer = match mood {
-            Mood::Busy => Some("busy\r\n".to_string()),
-            Mood::Down => return,
-            Mood::Usual | Mood::Silent | Mood::Spoilt => match add(&line, &numbers) {
-                None => Some("error\r\n".to_string()),
-                Some(_) if mood == Mood::Silent => None,
-                Some(_) if mood == Mood::Spoilt => Some("ok much\r\n".to_string()),
-                Some(total) => Some(format!("ok {total}\r\n")),
-            },
+        let behaviour = *behaviour.lock().expect("lock not poisoned");
+        let answer = match behaviour {
+            CounterBehaviour::Busy => Some("busy\r\n".to_string()),
+            CounterBehaviour::Disconnect => return,
+            CounterBehaviour::Normal | CounterBehaviour::Silent | CounterBehaviour::Malformed => {
+                match add(&line, &numbers) {
+                    None => Some("error\r\n".to_string()),
+                    Some(_) if behaviour == CounterBehaviour::Silent => None,
+                    Some(_) if behaviour == CounterBehaviour::Malformed => Some("ok much\r\n".to_string()),
+                    Some(total) => Some(format!("ok {total}\r\n")),
+                }
+            }
         };
         if let Some(answer) = answer {
             if stream.write_all(answer.as_bytes()).await.is_err() {
@@ -100,7 +106,7 @@
         return None;
     }
     let now = Instant::now();
-    let mut numbers = numbers.lock().expect("no one panics while holding it");
+    let mut numbers = numbers.lock().expect("lock not poisoned");
     numbers.retain(|_, number| number.until > now);
     let fresh = Number { total: 0.0, until: now + Duration::from_millis(life.clamp(1, 60_000)) };
     let number = numbers.entry(name.to_string()).or_insert(fresh);
--- a/fault-soak/src/discovery.rs
+++ b/fault-soak/src/discovery.rs
@@ -1,11 +1,11 @@
 //! Discovery: the true server list, an agent for each gateway that hears of its changes late, and the calls
 //! that gateways make. An agent may be silent, forget open watches, reset them, or write in small pieces.
 
+use crate::event_log::{EventLog, Millis, RemovalNotice, StartNotice};
 use crate::http::{Message, Reader};
-use crate::ledger::{Ledger, Millis, StartTold, Told};
 use crate::listener::listen;
 use crate::proxy::reset_on_close;
-use crate::site::area_name;
+use crate::site::zone_name;
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, HashSet};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -46,7 +46,7 @@
     /// Where it is.
     pub endpoint: SocketAddr,
     /// The area it stands in.
-    pub area: usize,
+    pub zone: usize,
     /// Its state.
     pub state: State,
     /// Unix time of its latest start, milliseconds; 0 for long ago.
@@ -55,41 +55,41 @@
 
 impl Entry {
     fn json(&self) -> Value {
-        json!({"uid": self.uid, "endpoint": self.endpoint.to_string(), "az": area_name(self.area), "model": "m", "pod_group": 0,
+        json!({"uid": self.uid, "endpoint": self.endpoint.to_string(), "az": zone_name(self.zone), "model": "m", "pod_group": 0,
                "state": self.state.word(), "capacity_hint": 1.0, "boot_ms": self.boot_ms})
     }
 }
 
 /// How agents behave.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct AgentManners {
+pub struct AgentBehaviour {
     /// Answers nobody and learns nothing.
     pub down: bool,
     /// Writes answers in pieces of so many bytes; 0: at once.
-    pub piece: usize,
+    pub chunk_size: usize,
     /// Writes indented lists.
     pub indented: bool,
     /// Whole lists leave out what drains, and changes often come as whole lists.
-    pub whole: bool,
+    pub full_lists: bool,
 }
 
 #[derive(Debug)]
 struct Agent {
     /// How much of the history it has.
     has: watch::Sender<usize>,
-    manners: watch::Sender<AgentManners>,
+    behaviour: watch::Sender<AgentBehaviour>,
     /// Counts the times at which open watches fell silent, and were reset.
     silences: watch::Sender<u64>,
     resets: watch::Sender<u64>,
     /// Ends the accepting at the present address.
     stop: Mutex<Option<watch::Sender<bool>>>,
     /// Changes that it has had since then count as told from this moment at the earliest.
-    told_from: Mutex<Millis>,
+    notified_from: Mutex<Millis>,
 }
 
 /// Who answers gateways' calls, as far as the rule on what counts as told goes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Mode {
+pub enum RegistryMode {
     /// An agent on each gateway's machine: what it has counts as told.
     Pushed,
     /// One service for all: what was written counts as told, and after 6 s what was not.
@@ -97,43 +97,43 @@
 }
 
 /// After so long what a shared service has counts as told, heard or not.
-const TOLD_AFTER: Millis = 6000.0;
+const NOTIFIED_AFTER: Millis = 6000.0;
 /// What discovery has to tell counts as told so long after SIGHUP.
-const TOLD_AFTER_RELOAD: Millis = 4000.0;
+const NOTIFIED_AFTER_RELOAD: Millis = 4000.0;
 /// Connections at an address that discovery left are closed after this.
 const OLD_ADDRESS_LIFE: Duration = Duration::from_millis(1500);
 
 /// Discovery's handle.
 #[derive(Debug)]
 pub struct Discovery {
-    ledger: Arc<Ledger>,
-    mode: Mode,
+    event_log: Arc<EventLog>,
+    mode: RegistryMode,
     history: Mutex<Vec<Entry>>,
     /// Starts that gateways were told of, by gateway and place in the history.
-    starts_told: Mutex<HashSet<(usize, usize)>>,
+    start_notices: Mutex<HashSet<(usize, usize)>>,
     agents: Vec<Agent>,
 }
 
 impl Discovery {
     /// Discovery with an agent for each gateway and an empty list.
-    pub fn new(ledger: Arc<Ledger>, mode: Mode, gateways: usize) -> Arc<Discovery> {
+    pub fn new(event_log: Arc<EventLog>, mode: RegistryMode, gateways: usize) -> Arc<Discovery> {
         let agent = || Agent {
             has: watch::Sender::new(0),
-            manners: watch::Sender::new(AgentManners::default()),
+            behaviour: watch::Sender::new(AgentBehaviour::default()),
             silences: watch::Sender::new(0),
             resets: watch::Sender::new(0),
             stop: Mutex::new(None),
-            told_from: Mutex::new(0.0),
+            notified_from: Mutex::new(0.0),
         };
         let agents = (0..gateways).map(|_| agent()).collect();
-        let (history, starts_told) = (Mutex::default(), Mutex::default());
-        Arc::new(Discovery { ledger, mode, history, starts_told, agents })
+        let (history, start_notices) = (Mutex::default(), Mutex::default());
+        Arc::new(Discovery { event_log, mode, history, start_notices, agents })
     }
 
     /// Changes the list; each agent hears of it after its part of `lag`.
-    pub fn change(self: &Arc<Self>, entry: Entry, lag: Duration) {
+    pub fn publish(self: &Arc<Self>, entry: Entry, lag: Duration) {
         let place = {
-            let mut history = self.history.lock().expect("no one panics while holding it");
+            let mut history = self.history.lock().expect("lock not poisoned");
             history.push(entry);
             history.len()
         };
@@ -142,17 +142,17 @@
             let (discovery, lag) = (self.clone(), lag.mul_f64(part));
             tokio::spawn(async move {
                 sleep(lag).await;
-                let mut manners = discovery.agents[gateway].manners.subscribe();
-                let _ = manners.wait_for(|manners| !manners.down).await;
-                discovery.learn(gateway, place);
+                let mut behaviour = discovery.agents[gateway].behaviour.subscribe();
+                let _ = behaviour.wait_for(|behaviour| !behaviour.down).await;
+                discovery.receive(gateway, place);
             });
         }
     }
 
     /// Puts an entry on the list of all agents at once, before the run begins.
-    pub fn seed(&self, entry: Entry) {
+    pub fn publish_at_start(&self, entry: Entry) {
         let place = {
-            let mut history = self.history.lock().expect("no one panics while holding it");
+            let mut history = self.history.lock().expect("lock not poisoned");
             history.push(entry);
             history.len()
         };
@@ -161,62 +161,66 @@
         }
     }
 
-    fn learn(self: &Arc<Self>, gateway: usize, place: usize) {
+    fn receive(self: &Arc<Self>, gateway: usize, place: usize) {
         let agent = &self.agents[gateway];
         let before = *agent.has.borrow();
         if place <= before {
             return;
         }
         agent.has.send_replace(place);
-        if self.mode == Mode::Pushed {
-            self.tell(gateway, before, place);
+        if self.mode == RegistryMode::Pushed {
+            self.record_notices(gateway, before, place);
             return;
         }
         let discovery = self.clone();
         tokio::spawn(async move {
             // An outage within the time begins it anew, as the service could not be reached.
-            let mut manners = discovery.agents[gateway].manners.subscribe();
+            let mut behaviour = discovery.agents[gateway].behaviour.subscribe();
             loop {
-                let _ = manners.wait_for(|manners| !manners.down).await;
+                let _ = behaviour.wait_for(|behaviour| !behaviour.down).await;
                 let outage = async {
-                    let _ = manners.wait_for(|manners| manners.down).await;
+                    let _ = behaviour.wait_for(|behaviour| behaviour.down).await;
                 };
-                if timeout(Duration::from_secs_f64(TOLD_AFTER / 1000.0), outage).await.is_err() {
+                if timeout(Duration::from_secs_f64(NOTIFIED_AFTER / 1000.0), outage).await.is_err() {
                     break;
                 }
             }
-            discovery.tell(gateway, before, place);
+            discovery.record_notices(gateway, before, place);
         });
     }
 
     /// Enters what a gateway counts as told of.
-    fn tell(&self, gateway: usize, from: usize, to: usize) {
-        let told_from = *self.agents[gateway].told_from.lock().expect("no one panics while holding it");
-        let at = self.ledger.now().max(told_from);
-        let history = self.history.lock().expect("no one panics while holding it");
-        let mut starts_told = self.starts_told.lock().expect("no one panics while holding it");
+    fn record_notices(&self, gateway: usize, from: usize, to: usize) {
+        let notified_from = *self.agents[gateway].notified_from.lock().expect("lock not poisoned");
+        let notified_at = self.event_log.now().max(notified_from);
+        let history = self.history.lock().expect("lock not poisoned");
+        let mut start_notices = self.start_notices.lock().expect("lock not poisoned");
         for (place, entry) in history.iter().enumerate().take(to).skip(from) {
             let started = entry.state == State::Ready && entry.boot_ms != 0;
-            if started && starts_told.insert((gateway, place)) {
-                let told = StartTold { gateway, server: entry.uid.clone(), at };
-                self.ledger.with(|records| records.starts_told.push(told));
+            if started && start_notices.insert((gateway, place)) {
+                let notice = StartNotice { gateway, server: entry.uid.clone(), notified_at };
+                self.event_log.with(|records| records.start_notices.push(notice));
             }
         }
         for entry in history[from..to].iter().filter(|entry| entry.state != State::Ready) {
             let server = entry.uid.clone();
-            self.ledger.with(|records| {
-                let known = |told: &&Told| told.gateway == gateway && told.server == server;
-                if !records.told.iter().any(|told| known(&told)) {
-                    records.told.push(Told { gateway, server: server.clone(), at });
+            self.event_log.with(|records| {
+                let same = |notice: &RemovalNotice| notice.gateway == gateway && notice.server == server;
+                if !records.removal_notices.iter().any(same) {
+                    records.removal_notices.push(RemovalNotice {
+                        gateway,
+                        server: server.clone(),
+                        notified_at,
+                    });
                 }
             });
         }
     }
 
     /// Changes how agents behave.
-    pub fn behave(&self, change: impl Fn(&mut AgentManners)) {
+    pub fn change_behaviour(&self, change: impl Fn(&mut AgentBehaviour)) {
         for agent in &self.agents {
-            agent.manners.send_modify(&change);
+            agent.behaviour.send_modify(&change);
         }
     }
 
@@ -241,7 +245,7 @@
     }
 
     fn whole(&self, has: usize, without_draining: bool) -> Value {
-        let history = self.history.lock().expect("no one panics while holding it");
+        let history = self.history.lock().expect("lock not poisoned");
         let mut entries = BTreeMap::new();
         for entry in &history[..has] {
             entries.insert(entry.uid.clone(), entry.clone());
@@ -256,7 +260,7 @@
     }
 
     fn changes(&self, after: usize, has: usize) -> Value {
-        let history = self.history.lock().expect("no one panics while holding it");
+        let history = self.history.lock().expect("lock not poisoned");
         let targets: Vec<Value> = history[after..has].iter().map(Entry::json).collect();
         json!({"rev": has, "all": false, "targets": targets})
     }
@@ -266,11 +270,11 @@
         let listener = listen(Ipv4Addr::new(127, 88, 0, 4)).expect("a free port");
         let address = listener.local_addr().expect("a bound socket has an address");
         let (stop, mut stopped) = watch::channel(false);
-        let before = self.agents[gateway].stop.lock().expect("no one panics while holding it").replace(stop);
+        let before = self.agents[gateway].stop.lock().expect("lock not poisoned").replace(stop);
         if let Some(before) = before {
             before.send_replace(true);
-            *self.agents[gateway].told_from.lock().expect("no one panics while holding it") =
-                self.ledger.now() + TOLD_AFTER_RELOAD;
+            *self.agents[gateway].notified_from.lock().expect("lock not poisoned") =
+                self.event_log.now() + NOTIFIED_AFTER_RELOAD;
         }
         let discovery = self.clone();
         tokio::spawn(async move {
@@ -293,8 +297,8 @@
     async fn serve(self: Arc<Self>, gateway: usize, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let mut reader = Reader::new(stream);
-        while let Ok(call) = reader.message().await {
-            if self.agents[gateway].manners.borrow().down {
+        while let Ok(call) = reader.read_message().await {
+            if self.agents[gateway].behaviour.borrow().down {
                 // What was asked in the silence is never answered.
                 std::future::pending::<()>().await;
             }
@@ -303,28 +307,28 @@
             if has_ended(&reader.stream) {
                 return;
             }
-            let manners = *self.agents[gateway].manners.borrow();
-            if manners.down {
+            let behaviour = *self.agents[gateway].behaviour.borrow();
+            if behaviour.down {
                 std::future::pending::<()>().await;
             }
-            let text = if manners.indented {
+            let text = if behaviour.indented {
                 serde_json::to_string_pretty(&answer).expect("a list is JSON")
             } else {
                 answer.to_string()
             };
             let bytes =
                 format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len()).into_bytes();
-            let piece = if manners.piece == 0 { bytes.len() } else { manners.piece };
+            let piece = if behaviour.chunk_size == 0 { bytes.len() } else { behaviour.chunk_size };
             for part in bytes.chunks(piece) {
                 if reader.stream.write_all(part).await.is_err() {
                     return;
                 }
-                if manners.piece > 0 {
+                if behaviour.chunk_size > 0 {
                     sleep(Duration::from_micros(200)).await;
                 }
             }
-            if self.mode == Mode::OnRequest {
-                self.tell(gateway, 0, has);
+            if self.mode == RegistryMode::OnRequest {
+                self.record_notices(gateway, 0, has);
             }
         }
     }
@@ -339,7 +343,7 @@
                 .find_map(|pair| pair.strip_prefix(name)?.strip_prefix('=')?.parse::<usize>().ok())
         };
         let mut has = agent.has.subscribe();
-        let whole = agent.manners.borrow().whole;
+        let whole = agent.behaviour.borrow().full_lists;
         let Some(after) = number("after") else {
             let has = *has.borrow();
             return Some((self.whole(has, whole), has));
--- a/fault-soak/src/ledger.rs
+++ b/fault-soak/src/event_log.rs
@@ -12,18 +12,18 @@
 
 /// How often the effect of a request may happen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Effect {
+pub enum Semantics {
     /// Any number of times.
-    Free,
+    Idempotent,
     /// Servers drop repeats that begin within the class's window.
     Keyed,
     /// Once.
-    Once,
+    AtMostOnce,
 }
 
 /// On what kind of connection a request went out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Carrier {
+pub enum ConnectionUse {
     /// The first request on its connection.
     New,
     /// One connection had answers before.
@@ -34,13 +34,13 @@
 
 /// How a request ended for its client.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Ending {
+pub enum Outcome {
     /// A whole answer.
-    Answer {
+    Response {
         /// Its status.
         status: u16,
         /// Whether a 200 carries what a server made for this request.
-        genuine: bool,
+        body_matches: bool,
     },
     /// The connection ended without a whole answer.
     Closed {
@@ -48,7 +48,7 @@
         reset: bool,
     },
     /// Nothing came until the client stopped waiting.
-    Silence,
+    NoResponse,
 }
 
 /// One request as its client saw it.
@@ -59,35 +59,35 @@
     /// The gateway it went to.
     pub gateway: usize,
     /// Which life of that gateway.
-    pub life: usize,
+    pub incarnation: usize,
     /// Its customer.
     pub customer: u64,
     /// The index of the customer's plan.
     pub plan: usize,
     /// How often it may take effect.
-    pub effect: Effect,
+    pub semantics: Semantics,
     /// On what kind of connection it went out.
-    pub carrier: Carrier,
+    pub connection_use: ConnectionUse,
     /// The client's port, by which the gateway's trace names the connection.
     pub port: u16,
     /// Whether its client sent the same bytes on a second connection: the two are judged apart by the gateway.
-    pub copied: bool,
+    pub sent_twice: bool,
     /// When its last byte was handed to the system.
     pub sent_at: Millis,
     /// How long its client said it would wait.
-    pub patience: Millis,
+    pub client_timeout: Millis,
     /// When the answer before it on its connection had come, if it was pipelined.
-    pub turn_at: Millis,
+    pub previous_response_at: Millis,
     /// When its client closed the connection, if it left early.
     pub left_at: Option<Millis>,
     /// How it ended, and when.
-    pub ending: Option<(Ending, Millis)>,
+    pub outcome: Option<(Outcome, Millis)>,
 }
 
 impl RequestRecord {
     /// When its client gives up.
     pub fn expires_at(&self) -> Millis {
-        self.sent_at + self.patience
+        self.sent_at + self.client_timeout
     }
 }
 
@@ -99,24 +99,24 @@
     /// The server's name on the list.
     pub server: String,
     /// When its first byte was read.
-    pub begun_at: Millis,
+    pub first_byte_at: Millis,
     /// When its last byte was read.
-    pub whole_at: Option<Millis>,
+    pub received_at: Option<Millis>,
     /// The time that it told the server, from `X-Deadline`.
-    pub told: Option<Millis>,
+    pub deadline: Option<Millis>,
     /// Whether it carried a key.
     pub keyed: bool,
     /// Whether the server ran it.
     pub ran: bool,
     /// When its connection ended or its answer was written.
-    pub over_at: Option<Millis>,
+    pub finished_at: Option<Millis>,
     /// What the server did with it, for the log.
-    pub treatment: &'static str,
+    pub handling: &'static str,
 }
 
 /// Something that the rig did.
 #[derive(Debug, Clone)]
-pub struct Note {
+pub struct TimelineEntry {
     /// When.
     pub at: Millis,
     /// What.
@@ -125,13 +125,13 @@
 
 /// A server that drains or went, as the agent of one gateway had it.
 #[derive(Debug, Clone)]
-pub struct Told {
+pub struct RemovalNotice {
     /// The gateway.
     pub gateway: usize,
     /// The server's name.
     pub server: String,
-    /// From when on the gateway counts as told.
-    pub at: Millis,
+    /// From when on the gateway counts as notified.
+    pub notified_at: Millis,
 }
 
 /// The start of a server as the list told it.
@@ -147,30 +147,30 @@
 
 /// The start of a server, as a gateway was told of it.
 #[derive(Debug, Clone)]
-pub struct StartTold {
+pub struct StartNotice {
     /// The gateway.
     pub gateway: usize,
     /// The server's name.
     pub server: String,
-    /// From when on the gateway counts as told.
-    pub at: Millis,
+    /// From when on the gateway counts as notified.
+    pub notified_at: Millis,
 }
 
 /// One life of a gateway process.
 #[derive(Debug, Clone)]
-pub struct Life {
+pub struct Incarnation {
     /// When it was started.
-    pub started: Millis,
+    pub started_at: Millis,
     /// Whether nobody reads its log.
     pub log_unread: bool,
     /// When it first answered `GET /healthz` with 200.
-    pub ready: Option<Millis>,
+    pub ready_at: Option<Millis>,
     /// When it was told to end.
-    pub terminated: Option<Millis>,
+    pub term_sent_at: Option<Millis>,
     /// When it was killed.
-    pub killed: Option<Millis>,
+    pub kill_sent_at: Option<Millis>,
     /// When it ended, and whether with success.
-    pub ended: Option<(Millis, bool)>,
+    pub exited: Option<(Millis, bool)>,
 }
 
 /// A bad client's connection: what it did, and how long until it got an error or a close.
@@ -179,13 +179,13 @@
     /// The gateway and its life.
     pub gateway: usize,
     /// Which life of it.
-    pub life: usize,
+    pub incarnation: usize,
     /// What it did.
-    pub what: &'static str,
+    pub action: &'static str,
     /// When it connected.
-    pub began: Millis,
+    pub connected_at: Millis,
     /// When it got an error or a close.
-    pub ended: Option<Millis>,
+    pub ended_at: Option<Millis>,
 }
 
 /// All records of one run.
@@ -196,33 +196,33 @@
     /// In the order in which they began.
     pub attempts: Vec<AttemptRecord>,
     /// What the rig did, in order.
-    pub notes: Vec<Note>,
+    pub timeline: Vec<TimelineEntry>,
     /// Drains and removals, as told.
-    pub told: Vec<Told>,
+    pub removal_notices: Vec<RemovalNotice>,
     /// Starts of servers.
     pub cold_starts: Vec<ColdStart>,
     /// The same, as gateways were told of them.
-    pub starts_told: Vec<StartTold>,
+    pub start_notices: Vec<StartNotice>,
     /// Lives by gateway.
-    pub lives: Vec<Vec<Life>>,
+    pub incarnations: Vec<Vec<Incarnation>>,
     /// Bad clients.
     pub bad_clients: Vec<BadClient>,
     /// The longest time by which the rig's own timer was late.
-    pub rig_late: Millis,
+    pub rig_timer_delay: Millis,
 }
 
 /// The log, shared by all stand-ins.
 #[derive(Debug)]
-pub struct Ledger {
+pub struct EventLog {
     start: Instant,
     records: Mutex<Records>,
 }
 
-impl Ledger {
+impl EventLog {
     /// An empty log for so many gateways.
-    pub fn new(gateways: usize) -> Ledger {
-        let records = Records { lives: vec![Vec::new(); gateways], ..Records::default() };
-        Ledger { start: Instant::now(), records: Mutex::new(records) }
+    pub fn new(gateways: usize) -> EventLog {
+        let records = Records { incarnations: vec![Vec::new(); gateways], ..Records::default() };
+        EventLog { start: Instant::now(), records: Mutex::new(records) }
     }
 
     /// The time on the run's clock.
@@ -232,16 +232,16 @@
 
     /// Changes or reads the records.
     pub fn with<T>(&self, work: impl FnOnce(&mut Records) -> T) -> T {
-        work(&mut self.records.lock().expect("no stand-in panics while it holds the log"))
+        work(&mut self.records.lock().expect("lock not poisoned"))
     }
 
     /// Notes what the rig did.
-    pub fn note(&self, text: String) {
+    pub fn add_to_timeline(&self, text: String) {
         let at = self.now();
-        self.with(|records| records.notes.push(Note { at, text }));
+        self.with(|records| records.timeline.push(TimelineEntry { at, text }));
     }
 
-    /// Enters an attempt that has begun; returns its place for [`Ledger::attempt`].
+    /// Enters an attempt that has begun; returns its place for [`EventLog::attempt`].
     pub fn begin_attempt(&self, record: AttemptRecord) -> usize {
         self.with(|records| {
             records.attempts.push(record);
--- a/fault-soak/src/gateway.rs
+++ b/fault-soak/src/gateway.rs
@@ -1,7 +1,7 @@
 //! Gateway processes: their configuration, starts, signals and ends.
 
+use crate::event_log::{EventLog, Incarnation, Millis};
 use crate::http::Reader;
-use crate::ledger::{Ledger, Life, Millis};
 use crate::shim::{Control, Faults};
 use crate::site::Site;
 use rustix::process::{kill_process, Pid, Signal};
@@ -30,7 +30,7 @@
 /// One whose log nobody reads is killed so much later: that it does not end must not be for another reason.
 const MORE_FOR_LOG_UNREAD: Millis = 3000.0;
 /// After it was held up it runs at least this long.
-const HOLD_GAP: Duration = Duration::from_millis(300);
+const PAUSE_GAP: Duration = Duration::from_millis(300);
 /// A gateway that is not ready by then is given up.
 const READY_WITHIN: Duration = Duration::from_secs(30);
 
@@ -41,7 +41,7 @@
     pub index: usize,
     /// Where it listens.
     pub address: SocketAddr,
-    ledger: Arc<Ledger>,
+    event_log: Arc<EventLog>,
     control: Control,
     program: PathBuf,
     shim: Option<PathBuf>,
@@ -51,7 +51,7 @@
     /// Held by whoever ends it and starts it again.
     pub restarting: tokio::sync::Mutex<()>,
     /// Held by whoever has stopped it.
-    holding: tokio::sync::Mutex<()>,
+    pausing: tokio::sync::Mutex<()>,
     /// The number of the life that is over last, plus one.
     ended: watch::Sender<usize>,
 }
@@ -59,7 +59,7 @@
 #[derive(Debug, Default)]
 struct Process {
     pid: Option<Pid>,
-    life: usize,
+    incarnation: usize,
     ready: bool,
     terminated: Option<Millis>,
     log_unread: bool,
@@ -67,25 +67,25 @@
 
 /// Whether a gateway can be asked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Intake {
+pub struct Availability {
     /// Which life of it runs.
-    pub life: usize,
+    pub incarnation: usize,
     /// Whether new connections go to it.
-    pub connects: bool,
+    pub accepts_connections: bool,
 }
 
 /// Who takes what a gateway logs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LogReader {
+pub enum LogTarget {
     /// Its file.
     File,
     /// A pipe that fills up.
-    Nobody,
+    UnreadPipe,
 }
 
 /// What a gateway's configuration says beside the site's settings.
 #[derive(Debug, Clone)]
-pub struct Told {
+pub struct PeerConfig {
     /// Where discovery is.
     pub discovery: SocketAddr,
     /// Where the counter is.
@@ -101,7 +101,7 @@
     /// What the system says of the files.
     pub fn new(
         index: usize,
-        ledger: Arc<Ledger>,
+        event_log: Arc<EventLog>,
         program: &Path,
         shim: Option<&Path>,
         folder: &Path,
@@ -115,7 +115,7 @@
         Ok(Gateway {
             index,
             address,
-            ledger,
+            event_log,
             control: Control::create(folder.join(format!("shim-{index}.control")))?,
             program: program.to_path_buf(),
             shim: shim.map(Path::to_path_buf),
@@ -123,36 +123,42 @@
             log,
             state: Mutex::new(Process::default()),
             restarting: tokio::sync::Mutex::new(()),
-            holding: tokio::sync::Mutex::new(()),
+            pausing: tokio::sync::Mutex::new(()),
             ended: watch::Sender::new(0),
         })
     }
 
     /// Sets which system calls fail.
-    pub fn faults(&self, faults: Faults) {
+    pub fn set_syscall_faults(&self, faults: Faults) {
         self.control.set(faults);
     }
 
     /// Whether it can be asked.
-    pub fn intake(&self) -> Option<Intake> {
-        let state = self.state.lock().expect("no one panics while holding it");
+    pub fn availability(&self) -> Option<Availability> {
+        let state = self.state.lock().expect("lock not poisoned");
         if !state.ready {
             return None;
         }
-        let connects = state.terminated.is_none_or(|at| self.ledger.now() < at + CONNECTS_AFTER_TERM);
-        Some(Intake { life: state.life, connects })
+        let accepts_connections =
+            state.terminated.is_none_or(|at| self.event_log.now() < at + CONNECTS_AFTER_TERM);
+        Some(Availability { incarnation: state.incarnation, accepts_connections })
     }
 
     /// Writes its configuration and puts it into place at once.
-    pub fn configure(&self, site: &Site, told: &Told) {
+    pub fn configure(&self, site: &Site, peers: &PeerConfig) {
         let half_written = self.config.with_extension("new");
-        fs::write(&half_written, self.configuration(site, told)).expect("the folder takes files");
+        fs::write(&half_written, self.configuration(site, peers)).expect("the folder takes files");
         fs::rename(&half_written, &self.config).expect("the folder takes files");
     }
 
     /// Rewrites its configuration where it stands: it is cut short until the future that this returns has ended.
-    pub fn configure_in_place(&self, site: &Site, told: &Told, span: Duration) -> impl Future<Output = ()> {
-        let (path, text) = (self.config.clone(), self.configuration(site, told));
+    pub fn configure_in_place(
+        &self,
+        site: &Site,
+        peers: &PeerConfig,
+        span: Duration,
+    ) -> impl Future<Output = ()> {
+        let (path, text) = (self.config.clone(), self.configuration(site, peers));
         fs::write(&path, &text[..text.len() / 2]).expect("the folder takes files");
         async move {
             sleep(span).await;
@@ -160,20 +166,20 @@
         }
     }
 
-    fn configuration(&self, site: &Site, told: &Told) -> String {
+    fn configuration(&self, site: &Site, peers: &PeerConfig) -> String {
         let config = json!({
             "name": format!("n{}", self.index), "listen": self.address.to_string(),
-            "discovery": told.discovery.to_string(), "seed": format!("{:016x}", self.ledger.now().to_bits()),
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": site.descriptors},
-            "counter": told.counter.to_string(), "known": told.known, "settings": site.settings(self.index),
+            "discovery": peers.discovery.to_string(), "seed": format!("{:016x}", self.event_log.now().to_bits()),
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": site.fd_limit},
+            "counter": peers.counter.to_string(), "known": peers.known, "settings": site.settings(self.index),
         });
         config.to_string()
     }
 
     /// Starts it and waits until it is ready; false if it is not within 30 s.
-    pub async fn start(self: &Arc<Self>, told: &Told, log: LogReader) -> bool {
+    pub async fn start(self: &Arc<Self>, peers: &PeerConfig, log: LogTarget) -> bool {
         // Nobody reads from the other end, which stays open for as long as the process may write.
-        let log_unread = log == LogReader::Nobody;
+        let log_unread = log == LogTarget::UnreadPipe;
         let unread = log_unread.then(|| UnixStream::pair().expect("a pair"));
         let log: Stdio = match &unread {
             Some((log, _)) => OwnedFd::from(log.try_clone().expect("a descriptor")).into(),
@@ -186,7 +192,7 @@
         command
             .env("BALANCER_NAME", format!("n{}", self.index))
             .env("BALANCER_LISTEN", self.address.to_string())
-            .env("BALANCER_DISCOVERY", told.discovery.to_string())
+            .env("BALANCER_DISCOVERY", peers.discovery.to_string())
             .env("BALANCER_CONFIG", &self.config)
             .env("BALANCER_TRACE", "1")
             .stdout(Stdio::null())
@@ -196,29 +202,31 @@
             command.env("LD_PRELOAD", shim).env("FAULT_SHIM_CONTROL", &self.control.path);
         }
         let mut child = command.spawn().expect("the gateway's program can be started");
-        let life = Life {
-            started: self.ledger.now(),
+        let incarnation = Incarnation {
+            started_at: self.event_log.now(),
             log_unread,
-            ready: None,
-            terminated: None,
-            killed: None,
-            ended: None,
+            ready_at: None,
+            term_sent_at: None,
+            kill_sent_at: None,
+            exited: None,
         };
-        let number = self.ledger.with(|records| {
-            records.lives[self.index].push(life);
-            records.lives[self.index].len() - 1
+        let number = self.event_log.with(|records| {
+            records.incarnations[self.index].push(incarnation);
+            records.incarnations[self.index].len() - 1
         });
         let pid = child.id().and_then(|id| Pid::from_raw(id as i32));
-        *self.state.lock().expect("no one panics while holding it") =
-            Process { pid, life: number, ready: false, terminated: None, log_unread };
+        *self.state.lock().expect("lock not poisoned") =
+            Process { pid, incarnation: number, ready: false, terminated: None, log_unread };
         let gateway = self.clone();
         tokio::spawn(async move {
             let status = child.wait().await;
             drop(unread);
-            let now = gateway.ledger.now();
+            let now = gateway.event_log.now();
             let success = status.is_ok_and(|status| status.success());
-            gateway.ledger.with(|records| records.lives[gateway.index][number].ended = Some((now, success)));
-            *gateway.state.lock().expect("no one panics while holding it") = Process::default();
+            gateway
+                .event_log
+                .with(|records| records.incarnations[gateway.index][number].exited = Some((now, success)));
+            *gateway.state.lock().expect("lock not poisoned") = Process::default();
             gateway.ended.send_replace(number + 1);
         });
         let ready = timeout(READY_WITHIN, async {
@@ -229,9 +237,9 @@
         if ready.await.is_err() {
             return false;
         }
-        let now = self.ledger.now();
-        self.ledger.with(|records| records.lives[self.index][number].ready = Some(now));
-        self.state.lock().expect("no one panics while holding it").ready = true;
+        let now = self.event_log.now();
+        self.event_log.with(|records| records.incarnations[self.index][number].ready_at = Some(now));
+        self.state.lock().expect("lock not poisoned").ready = true;
         true
     }
 
@@ -239,7 +247,7 @@
         let ask = async {
             let mut stream = TcpStream::connect(self.address).await.ok()?;
             stream.write_all(b"GET /healthz HTTP/1.1\r\nHost: backend.local\r\n\r\n").await.ok()?;
-            Reader::new(stream).message().await.ok()
+            Reader::new(stream).read_message().await.ok()
         };
         timeout(Duration::from_secs(1), ask)
             .await
@@ -248,7 +256,7 @@
 
     /// Whether it takes a signal by now, or would still be ended by it: before its `main` no program can.
     pub fn takes(&self, signal: Signal) -> bool {
-        let Some(pid) = self.state.lock().expect("no one panics while holding it").pid else { return false };
+        let Some(pid) = self.state.lock().expect("lock not poisoned").pid else { return false };
         let status = fs::read_to_string(format!("/proc/{}/status", pid.as_raw_nonzero()));
         let status = status.unwrap_or_default();
         let caught = status.lines().find_map(|line| line.strip_prefix("SigCgt:"));
@@ -258,7 +266,7 @@
 
     /// Sends a signal.
     pub fn signal(&self, signal: Signal) {
-        let pid = self.state.lock().expect("no one panics while holding it").pid;
+        let pid = self.state.lock().expect("lock not poisoned").pid;
         if let Some(pid) = pid {
             let _ = kill_process(pid, signal);
         }
@@ -266,55 +274,55 @@
 
     /// Kills it without a word and waits for its end.
     pub async fn kill(&self) {
-        let Some(life) = self.running_life() else { return };
-        let now = self.ledger.now();
-        self.ledger.with(|records| {
-            if let Some(life) = records.lives[self.index].get_mut(life) {
-                life.killed.get_or_insert(now);
+        let Some(incarnation) = self.running_life() else { return };
+        let now = self.event_log.now();
+        self.event_log.with(|records| {
+            if let Some(incarnation) = records.incarnations[self.index].get_mut(incarnation) {
+                incarnation.kill_sent_at.get_or_insert(now);
             }
         });
         self.signal(Signal::KILL);
-        self.wait_for_end(life).await;
+        self.wait_for_end(incarnation).await;
     }
 
     /// Tells it to end, and kills it if it has not by the time that the rules name.
     pub async fn terminate(&self, longest_deadline: Millis) {
-        let Some(life) = self.running_life() else { return };
-        let now = self.ledger.now();
+        let Some(incarnation) = self.running_life() else { return };
+        let now = self.event_log.now();
         let log_unread = {
-            let mut state = self.state.lock().expect("no one panics while holding it");
+            let mut state = self.state.lock().expect("lock not poisoned");
             state.terminated = Some(now);
             state.log_unread
         };
-        self.ledger.with(|records| {
-            if let Some(life) = records.lives[self.index].get_mut(life) {
-                life.terminated = Some(now);
+        self.event_log.with(|records| {
+            if let Some(incarnation) = records.incarnations[self.index].get_mut(incarnation) {
+                incarnation.term_sent_at = Some(now);
             }
         });
         self.signal(Signal::TERM);
         let more = if log_unread { MORE_FOR_LOG_UNREAD } else { 0.0 };
         let grace = longest_deadline.min(LONGEST_COUNTED) + KILL_AFTER + more;
         let grace = Duration::from_secs_f64(grace / 1000.0);
-        if timeout(grace, self.wait_for_end(life)).await.is_err() {
+        if timeout(grace, self.wait_for_end(incarnation)).await.is_err() {
             self.kill().await;
         }
     }
 
     /// Stops the process and lets it go on. It is held up by one trouble at a time: no rule bears more.
-    pub async fn hold(&self, span: Duration) {
-        let Ok(_holding) = self.holding.try_lock() else { return };
+    pub async fn pause(&self, span: Duration) {
+        let Ok(_pausing) = self.pausing.try_lock() else { return };
         self.signal(Signal::STOP);
         sleep(span).await;
         self.signal(Signal::CONT);
-        sleep(HOLD_GAP).await;
+        sleep(PAUSE_GAP).await;
     }
 
     fn running_life(&self) -> Option<usize> {
-        let state = self.state.lock().expect("no one panics while holding it");
-        state.pid.map(|_| state.life)
+        let state = self.state.lock().expect("lock not poisoned");
+        state.pid.map(|_| state.incarnation)
     }
 
-    async fn wait_for_end(&self, life: usize) {
-        let _ = self.ended.subscribe().wait_for(|ended| *ended > life).await;
+    async fn wait_for_end(&self, incarnation: usize) {
+        let _ = self.ended.subscribe().wait_for(|ended| *ended > incarnation).await;
     }
 }
--- a/fault-soak/src/http.rs
+++ b/fault-soak/src/http.rs
@@ -43,19 +43,19 @@
 
 /// What stood in the way of a whole message.
 #[derive(Debug)]
-pub enum Broken {
+pub enum ReadError {
     /// The stream ended in order.
-    End,
+    Closed,
     /// The stream failed.
     Failed(io::Error),
     /// What came is no message.
     Malformed,
 }
 
-impl Broken {
+impl ReadError {
     /// Whether the peer reset the connection.
     pub fn is_reset(&self) -> bool {
-        matches!(self, Broken::Failed(_))
+        matches!(self, ReadError::Failed(_))
     }
 }
 
@@ -65,16 +65,16 @@
         Reader { stream, buffer: Vec::new() }
     }
 
-    async fn fill(&mut self) -> Result<(), Broken> {
+    async fn fill(&mut self) -> Result<(), ReadError> {
         match self.stream.read_buf(&mut self.buffer).await {
-            Ok(0) => Err(Broken::End),
+            Ok(0) => Err(ReadError::Closed),
             Ok(_) => Ok(()),
-            Err(error) => Err(Broken::Failed(error)),
+            Err(error) => Err(ReadError::Failed(error)),
         }
     }
 
     /// Waits until something of the next message is there.
-    pub async fn first_byte(&mut self) -> Result<(), Broken> {
+    pub async fn wait_for_byte(&mut self) -> Result<(), ReadError> {
         if self.buffer.is_empty() {
             self.fill().await?;
         }
@@ -82,13 +82,13 @@
     }
 
     /// Reads one whole message.
-    pub async fn message(&mut self) -> Result<Message, Broken> {
+    pub async fn read_message(&mut self) -> Result<Message, ReadError> {
         let end = loop {
             if let Some(end) = self.buffer.windows(4).position(|bytes| bytes == b"\r\n\r\n") {
                 break end + 4;
             }
             if self.buffer.len() > HEAD_LIMIT {
-                return Err(Broken::Malformed);
+                return Err(ReadError::Malformed);
             }
             self.fill().await?;
         };
@@ -101,7 +101,7 @@
             .collect();
         let length = headers.iter().find(|(name, _)| name == "content-length");
         let length = length.map_or(Some(0), |(_, value)| value.parse::<usize>().ok());
-        let length = length.ok_or(Broken::Malformed)?;
+        let length = length.ok_or(ReadError::Malformed)?;
         while self.buffer.len() < end + length {
             self.fill().await?;
         }
--- /dev/null
+++ b/fault-soak/src/injection.rs
@@ -0,0 +1,420 @@
+//! Carries out the troubles of a scenario.
+
+use crate::client::open_idle_connections;
+use crate::counter::CounterBehaviour;
+use crate::discovery::State;
+use crate::gateway::{Gateway, LogTarget};
+use crate::proxy::ProxyFaults;
+use crate::run::{all_of, millis, ProxiedCounter, Rig};
+use crate::scenario::{Fault, ScheduledFault, ServerFault, BURST_CLIENTS};
+use crate::server::{Server, ServerBehaviour};
+use crate::shim::Faults;
+use rustix::process::Signal;
+use std::sync::atomic::Ordering;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::time::{interval, sleep, timeout};
+
+/// How late agents hear of changes at the most.
+const LIST_LAG: Duration = Duration::from_millis(700);
+/// A replaced server drains for so long before it is gone.
+const DRAIN_SPAN: Duration = Duration::from_millis(2500);
+/// Between new configurations in a row.
+const RELOAD_GAP: Duration = Duration::from_millis(60);
+/// A configuration that is rewritten in place is cut short for so long at the most, and at a start.
+const CUT_SHORT: Duration = Duration::from_millis(300);
+const CUT_SHORT_AT_START: Duration = Duration::from_millis(400);
+/// Between signals in series.
+const SERIES_GAP: Duration = Duration::from_millis(70);
+const HANGUPS_AT_START: usize = 6;
+/// How long a held-up process stands still, and from one such time to the next.
+const PAUSE: Duration = Duration::from_millis(140);
+const PAUSE_PERIOD: Duration = Duration::from_millis(500);
+
+/// How long after a gateway was stopped a crowd connects to it.
+const BURST_AFTER_PAUSE: Duration = Duration::from_millis(10);
+
+/// How a gateway ends that is restarted.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum StopMode {
+    Graceful,
+    Kill,
+    /// In order, with further signals of both kinds until it has.
+    SignalSeries,
+}
+
+/// How it starts again.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) enum StartMode {
+    Normal,
+    /// Its configuration is cut short for a while.
+    TruncatedConfig,
+    /// It is told of a new configuration again and again.
+    RepeatedSighup,
+    /// Nobody reads its log.
+    UnreadLog,
+}
+
+/// Sends both signals, together and apart, while a gateway ends.
+async fn signal_while_it_ends(gateway: Arc<Gateway>) {
+    loop {
+        sleep(SERIES_GAP).await;
+        gateway.signal(Signal::HUP);
+        gateway.signal(Signal::TERM);
+        sleep(SERIES_GAP).await;
+        gateway.signal(Signal::HUP);
+    }
+}
+
+/// Sends a few SIGHUPs from the first moment on in which a gateway takes them.
+async fn hang_up_at_start(gateway: Arc<Gateway>) {
+    for _ in 0..HANGUPS_AT_START {
+        let taken = async {
+            while !gateway.takes(Signal::HUP) {
+                sleep(Duration::from_micros(200)).await;
+            }
+        };
+        if timeout(Duration::from_secs(1), taken).await.is_ok() {
+            gateway.signal(Signal::HUP);
+        }
+        sleep(Duration::from_millis(1)).await;
+    }
+}
+
+impl Rig {
+    /// Carries out one trouble, and takes it back where it has an end.
+    pub(crate) async fn inject(self: Arc<Self>, event: ScheduledFault) {
+        let duration = millis(event.duration);
+        match event.fault {
+            Fault::Terminate(gateways) => {
+                self.restart(&gateways, StopMode::Graceful, StartMode::Normal).await
+            }
+            Fault::Kill(gateways) => self.restart(&gateways, StopMode::Kill, StartMode::Normal).await,
+            Fault::SignalSeries(gateways) => {
+                self.restart(&gateways, StopMode::SignalSeries, StartMode::RepeatedSighup).await;
+            }
+            Fault::TruncatedConfigAtStart(gateways) => {
+                self.restart(&gateways, StopMode::Graceful, StartMode::TruncatedConfig).await;
+            }
+            Fault::UnreadLog(gateways) => {
+                self.restart(&gateways, StopMode::Graceful, StartMode::UnreadLog).await
+            }
+            Fault::RewriteConfigInPlace => self.reload_in_place().await,
+            Fault::CounterMoves => {
+                let new = ProxiedCounter::start().await;
+                *self.counter.lock().expect("lock not poisoned") = new;
+                self.reload(false, duration).await;
+            }
+            Fault::IdleConnectionsEverywhere { discovery_down } => {
+                self.idle_connections_everywhere(discovery_down, duration).await
+            }
+            Fault::BlackholeZone(zone) => self.cut(self.servers_in_zone(zone), duration).await,
+            Fault::CrashZone(zone) => self.crash(self.servers_in_zone(zone), duration).await,
+            Fault::Pause(gateways) => self.pause(&gateways, duration).await,
+            Fault::Reload { unreadable } => self.reload(unreadable, duration).await,
+            Fault::ReloadBurst => {
+                for _ in 0..4 {
+                    self.reload(false, duration).await;
+                    sleep(RELOAD_GAP).await;
+                }
+            }
+            Fault::ReloadAndTerminate(gateways) => {
+                self.reload(false, duration).await;
+                self.restart(&gateways, StopMode::Graceful, StartMode::Normal).await;
+                self.restart(&gateways, StopMode::Graceful, StartMode::Normal).await;
+            }
+            Fault::ReplaceServers(count) => self.replace(count).await,
+            Fault::CrashServers(count) => self.crash(self.pick_ready(count), duration).await,
+            Fault::BlackholeServers(count) => self.cut(self.pick_ready(count), duration).await,
+            Fault::SlowChunkedResponses => {
+                let faults = ProxyFaults { blackhole: false, delay: Duration::from_millis(3), chunk_size: 7 };
+                self.lines(self.all_servers(), faults, duration).await;
+            }
+            Fault::FaultyServers(count, server_fault) => self.misbehave(count, server_fault, duration).await,
+            Fault::DiscoveryDown => {
+                self.discovery.change_behaviour(|behaviour| behaviour.down = true);
+                sleep(duration).await;
+                self.discovery.change_behaviour(|behaviour| behaviour.down = false);
+            }
+            Fault::WatchesSilent => self.discovery.silence_watches(),
+            Fault::WatchesReset => self.discovery.reset_watches(),
+            Fault::UnusualLists => {
+                self.discovery.change_behaviour(|behaviour| {
+                    (behaviour.chunk_size, behaviour.indented, behaviour.full_lists) = (97, true, true);
+                });
+                sleep(duration).await;
+                self.discovery.change_behaviour(|behaviour| {
+                    (behaviour.chunk_size, behaviour.indented, behaviour.full_lists) = (0, false, false);
+                });
+            }
+            Fault::Counter(behaviour) => {
+                let proxied = self.counter();
+                proxied.counter.set_behaviour(behaviour);
+                sleep(duration).await;
+                proxied.counter.set_behaviour(CounterBehaviour::Normal);
+            }
+            Fault::WallClockStep(step) => {
+                self.wall_clock_offset.fetch_add(step, Ordering::Relaxed);
+                let all: Vec<usize> = (0..self.gateways.len()).collect();
+                self.change_syscall_faults(&all, |faults| faults.wall_clock_offset += step);
+            }
+            Fault::Syscalls(gateways, syscall_fault) => {
+                let chances = syscall_fault.chances();
+                self.change_syscall_faults(&gateways, |faults| {
+                    *faults = Faults { wall_clock_offset: faults.wall_clock_offset, ..chances };
+                });
+                sleep(duration).await;
+                self.change_syscall_faults(&gateways, |faults| {
+                    *faults = Faults { wall_clock_offset: faults.wall_clock_offset, ..Faults::default() };
+                });
+            }
+            Fault::IdleConnections(gateway) => {
+                open_idle_connections(self.gateways[gateway].clone(), self.site.fd_limit, duration).await;
+            }
+            Fault::ConnectionBurstWhilePaused(gateways) => {
+                self.connection_burst_while_paused(&gateways).await
+            }
+            Fault::ClientsLeave => {
+                self.most_leave.store(true, Ordering::Relaxed);
+                sleep(duration).await;
+                self.most_leave.store(false, Ordering::Relaxed);
+            }
+        }
+    }
+
+    fn change_syscall_faults(&self, gateways: &[usize], change: impl Fn(&mut Faults)) {
+        let mut all = self.syscall_faults.lock().expect("lock not poisoned");
+        for gateway in gateways {
+            change(&mut all[*gateway]);
+            self.gateways[*gateway].set_syscall_faults(all[*gateway]);
+        }
+    }
+
+    async fn restart(self: &Arc<Self>, gateways: &[usize], stop: StopMode, start: StartMode) {
+        let mut restarts = tokio::task::JoinSet::new();
+        for gateway in gateways {
+            let (rig, gateway) = (self.clone(), self.gateways[*gateway].clone());
+            restarts.spawn(async move {
+                // One life at a time: whoever comes while it is being restarted leaves it alone.
+                let Ok(_restarting) = gateway.restarting.try_lock() else { return };
+                if gateway.availability().is_none() {
+                    return;
+                }
+                let longest = rig.site.longest_deadline();
+                match stop {
+                    StopMode::Graceful => gateway.terminate(longest).await,
+                    StopMode::Kill => gateway.kill().await,
+                    StopMode::SignalSeries => {
+                        let series = tokio::spawn(signal_while_it_ends(gateway.clone()));
+                        gateway.terminate(longest).await;
+                        series.abort();
+                    }
+                }
+                rig.start_as(&gateway, start).await;
+            });
+        }
+        all_of(restarts).await;
+    }
+
+    async fn pause(&self, gateways: &[usize], duration: Duration) {
+        let rounds = duration.as_millis() / PAUSE_PERIOD.as_millis();
+        let mut starts = interval(PAUSE_PERIOD);
+        for _ in 0..rounds.max(1) {
+            starts.tick().await;
+            let held = gateways.iter().map(|gateway| self.gateways[*gateway].clone());
+            let mut holds = tokio::task::JoinSet::new();
+            held.for_each(|gateway| {
+                holds.spawn(async move { gateway.pause(PAUSE).await });
+            });
+            all_of(holds).await;
+        }
+    }
+
+    async fn connection_burst_while_paused(&self, gateways: &[usize]) {
+        let mut crowds = tokio::task::JoinSet::new();
+        for gateway in gateways.iter().map(|gateway| self.gateways[*gateway].clone()) {
+            let crowd = self.clients(&gateway).connection_burst(BURST_CLIENTS, self.draw());
+            crowds.spawn(async move {
+                tokio::join!(gateway.pause(PAUSE), async {
+                    sleep(BURST_AFTER_PAUSE).await;
+                    crowd.await;
+                });
+            });
+        }
+        all_of(crowds).await;
+    }
+
+    async fn reload(&self, unreadable: bool, duration: Duration) {
+        let all: Vec<usize> = (0..self.gateways.len()).collect();
+        if unreadable {
+            self.change_syscall_faults(&all, |faults| faults.open_fails = 1.0);
+        }
+        for gateway in &self.gateways {
+            let address = self.discovery.listen(gateway.index).await;
+            self.discovery_addresses.lock().expect("lock not poisoned")[gateway.index] = address;
+            gateway.configure(&self.site, &self.peers(gateway.index));
+            if gateway.availability().is_some() {
+                gateway.signal(Signal::HUP);
+            }
+        }
+        if unreadable {
+            sleep(duration.min(Duration::from_millis(1500))).await;
+            self.change_syscall_faults(&all, |faults| faults.open_fails = 0.0);
+        }
+    }
+
+    async fn replace(&self, count: usize) {
+        for server in self.pick_ready(count) {
+            self.mark(&server, State::Draining);
+            self.discovery.publish(self.entry(&server, State::Draining, 0), LIST_LAG);
+            let new = self.join_server(Some(self.site.capacity())).await;
+            self.discovery.publish(self.entry(&new, State::Ready, self.wall_clock()), LIST_LAG);
+            sleep(DRAIN_SPAN).await;
+            self.mark(&server, State::Gone);
+            self.discovery.publish(self.entry(&server, State::Gone, 0), LIST_LAG);
+        }
+    }
+
+    /// The servers of an area, of which there are others.
+    fn servers_in_zone(&self, zone: usize) -> Vec<Arc<Server>> {
+        let all = self.all_servers();
+        let here = all.iter().filter(|server| server.zone == zone).cloned().collect::<Vec<_>>();
+        if here.len() < all.len() {
+            here
+        } else {
+            self.pick_ready(here.len())
+        }
+    }
+
+    async fn reload_in_place(&self) {
+        let mut writing = tokio::task::JoinSet::new();
+        for gateway in &self.gateways {
+            let address = self.discovery.listen(gateway.index).await;
+            self.discovery_addresses.lock().expect("lock not poisoned")[gateway.index] = address;
+            let span = CUT_SHORT.mul_f64((self.draw() % 1000) as f64 / 1000.0);
+            writing.spawn(gateway.configure_in_place(&self.site, &self.peers(gateway.index), span));
+            if gateway.availability().is_some() {
+                gateway.signal(Signal::HUP);
+            }
+        }
+        all_of(writing).await;
+    }
+
+    async fn idle_connections_everywhere(&self, discovery_down: bool, duration: Duration) {
+        if discovery_down {
+            self.discovery.change_behaviour(|behaviour| behaviour.down = true);
+        }
+        let mut crowds = tokio::task::JoinSet::new();
+        for gateway in &self.gateways {
+            crowds.spawn(open_idle_connections(gateway.clone(), self.site.fd_limit, duration));
+        }
+        all_of(crowds).await;
+        if discovery_down {
+            self.discovery.change_behaviour(|behaviour| behaviour.down = false);
+        }
+    }
+
+    async fn cut(&self, servers: Vec<Arc<Server>>, duration: Duration) {
+        self.lines(servers, ProxyFaults { blackhole: true, ..ProxyFaults::default() }, duration).await;
+    }
+
+    async fn crash(&self, servers: Vec<Arc<Server>>, duration: Duration) {
+        servers.iter().for_each(|server| server.crash());
+        sleep(duration).await;
+        for server in servers {
+            server.start(Some(self.site.capacity())).await;
+            // One that was replaced meanwhile is on the list no more.
+            let servers = self.servers.lock().expect("lock not poisoned");
+            let ready =
+                servers.iter().any(|(known, state)| known.uid == server.uid && *state == State::Ready);
+            drop(servers);
+            if ready {
+                self.discovery.publish(self.entry(&server, State::Ready, self.wall_clock()), LIST_LAG);
+            }
+        }
+    }
+
+    async fn lines(&self, servers: Vec<Arc<Server>>, faults: ProxyFaults, duration: Duration) {
+        servers.iter().for_each(|server| server.proxy.set_faults(faults));
+        sleep(duration).await;
+        for server in servers {
+            server.proxy.set_faults(ProxyFaults::default());
+            if faults.blackhole {
+                server.proxy.reset_connections();
+            }
+        }
+    }
+
+    fn all_servers(&self) -> Vec<Arc<Server>> {
+        let servers = self.servers.lock().expect("lock not poisoned");
+        servers.iter().map(|(server, _)| server.clone()).collect()
+    }
+
+    async fn misbehave(&self, count: usize, server_fault: ServerFault, duration: Duration) {
+        let usual = ServerBehaviour { work_factor: 1.0, ..ServerBehaviour::default() };
+        let behaviour = match server_fault {
+            ServerFault::Hang => ServerBehaviour { hang: 0.8, ..usual },
+            ServerFault::Error => ServerBehaviour { error: 0.5, ..usual },
+            ServerFault::Reject => ServerBehaviour { reject: 0.5, ..usual },
+            ServerFault::Reset => ServerBehaviour { reset: 0.4, ..usual },
+            ServerFault::Malformed => {
+                ServerBehaviour { malformed: 0.1, second_response: 0.2, no_length: 0.3, ..usual }
+            }
+            ServerFault::Close => ServerBehaviour { close: 0.6, ..usual },
+            ServerFault::Slow => ServerBehaviour { work_factor: 20.0, ..usual },
+            ServerFault::LongResponses => {
+                ServerBehaviour { large_body: 0.8, interim: 0.3, endless: 0.1, ..usual }
+            }
+        };
+        let servers = self.pick_ready(count);
+        servers.iter().for_each(|server| server.set_behaviour(behaviour));
+        sleep(duration).await;
+        servers.iter().for_each(|server| server.set_behaviour(usual));
+    }
+
+    /// Starts a gateway and waits until it is ready.
+    pub(crate) async fn start_as(&self, gateway: &Arc<Gateway>, start: StartMode) {
+        let peers = self.peers(gateway.index);
+        let log = if start == StartMode::UnreadLog { LogTarget::UnreadPipe } else { LogTarget::File };
+        let writing = if start == StartMode::TruncatedConfig {
+            let rewriting = gateway.configure_in_place(&self.site, &peers, CUT_SHORT_AT_START);
+            Some(tokio::spawn(rewriting))
+        } else {
+            gateway.configure(&self.site, &peers);
+            None
+        };
+        let signals =
+            (start == StartMode::RepeatedSighup).then(|| tokio::spawn(hang_up_at_start(gateway.clone())));
+        if !gateway.start(&peers, log).await {
+            self.event_log.add_to_timeline(format!("gateway {} was not ready within 30 s", gateway.index));
+        }
+        for task in [writing, signals].into_iter().flatten() {
+            let _ = task.await;
+        }
+    }
+
+    /// Some servers that are ready, drawn by lot; never so many that less than half of them would be left.
+    fn pick_ready(&self, count: usize) -> Vec<Arc<Server>> {
+        let servers = self.servers.lock().expect("lock not poisoned");
+        let mut ready: Vec<Arc<Server>> = servers
+            .iter()
+            .filter(|(_, state)| *state == State::Ready)
+            .map(|(server, _)| server.clone())
+            .collect();
+        drop(servers);
+        let most = count.min(ready.len() / 2);
+        let mut chosen = Vec::new();
+        while chosen.len() < most {
+            let place = (self.draw() % ready.len() as u64) as usize;
+            chosen.push(ready.swap_remove(place));
+        }
+        chosen
+    }
+
+    fn mark(&self, server: &Server, state: State) {
+        let mut servers = self.servers.lock().expect("lock not poisoned");
+        if let Some((_, held)) = servers.iter_mut().find(|(known, _)| known.uid == server.uid) {
+            *held = state;
+        }
+    }
+}
--- a/fault-soak/src/invariants.rs
+++ b/fault-soak/src/invariants.rs
@@ -1,9 +1,10 @@
 //! The oracle: the rules of the service, checked on the records of a run after it is over.
 
-use crate::ledger::{
-    AttemptRecord, Carrier, ColdStart, Effect, Ending, Life, Millis, Records, RequestId, RequestRecord,
+use crate::event_log::{
+    AttemptRecord, ColdStart, ConnectionUse, Incarnation, Millis, Outcome, Records, RequestId, RequestRecord,
+    Semantics,
 };
-use crate::site::{Plan, Site, CEILING_RATE, CEILING_SLACK, CEILING_STORE, PLANS};
+use crate::site::{Plan, Site, CEILING_DEPTH, CEILING_RATE, CEILING_TOLERANCE, PLANS};
 use std::collections::HashMap;
 use std::fmt;
 
@@ -88,7 +89,7 @@
             attempts.entry(request).or_default().push(attempt);
         }
     }
-    let slack = RIG_SLACK + 2.0 * records.rig_late;
+    let slack = RIG_SLACK + 2.0 * records.rig_timer_delay;
     let oracle = Oracle { site, slack, records, attempts };
     let mut found = Vec::new();
     for request in records.requests.values() {
@@ -125,15 +126,18 @@
         self.attempts.get(&request).map_or(&[], Vec::as_slice)
     }
 
-    fn life(&self, gateway: usize, life: usize) -> Option<&Life> {
-        self.records.lives.get(gateway)?.get(life)
+    fn incarnation(&self, gateway: usize, incarnation: usize) -> Option<&Incarnation> {
+        self.records.incarnations.get(gateway)?.get(incarnation)
     }
 
     /// Whether a kill, before the request ended like that, frees the gateway of the answer.
     fn freed_by_kill(&self, request: &RequestRecord, ended_at: Millis) -> bool {
-        let Some(life) = self.life(request.gateway, request.life) else { return true };
-        let Some(killed) = life.killed.filter(|killed| *killed <= ended_at) else { return false };
-        life.terminated
+        let Some(incarnation) = self.incarnation(request.gateway, request.incarnation) else { return true };
+        let Some(killed) = incarnation.kill_sent_at.filter(|killed| *killed <= ended_at) else {
+            return false;
+        };
+        incarnation
+            .term_sent_at
             .is_none_or(|terminated| terminated > killed || request.sent_at < terminated + BEFORE_KILL)
     }
 
@@ -146,25 +150,25 @@
             let text = format!("{why}; {request:?}; attempts {attempts:?}");
             found.push(violation(rule, Some(request.id), at, text));
         };
-        match &request.ending {
+        match &request.outcome {
             None => {}
-            Some((Ending::Answer { status, genuine }, at)) => {
+            Some((Outcome::Response { status, body_matches }, at)) => {
                 // Answers come in order: one that was pipelined can come no sooner than the one before it.
-                if *at > request.expires_at().max(request.turn_at) + ANSWER_GRACE + self.slack {
+                if *at > request.expires_at().max(request.previous_response_at) + ANSWER_GRACE + self.slack {
                     broken(Rule::Lost, *at, "answered too late");
                 }
-                if *status == 200 && !genuine {
+                if *status == 200 && !body_matches {
                     broken(Rule::Foreign, *at, "served what no server made for it");
                 }
-                let refused = matches!(status, 429 | 503) && !request.copied;
+                let refused = matches!(status, 429 | 503) && !request.sent_twice;
                 if refused && attempts.iter().any(|attempt| attempt.ran) {
                     broken(Rule::Refused, *at, "refused, and it ran");
                 }
             }
             Some((_, at)) if self.freed_by_kill(request, *at) => {}
-            Some((Ending::Silence, at)) => broken(Rule::Lost, *at, "never answered"),
-            Some((Ending::Closed { reset }, at)) => {
-                let crossing = request.carrier != Carrier::New
+            Some((Outcome::NoResponse, at)) => broken(Rule::Lost, *at, "never answered"),
+            Some((Outcome::Closed { reset }, at)) => {
+                let crossing = request.connection_use != ConnectionUse::New
                     && attempts.is_empty()
                     && (*reset || *at <= request.sent_at + CROSSING + self.slack);
                 if !crossing {
@@ -178,80 +182,93 @@
         let attempts = self.attempts(request.id);
         let ran: Vec<&&AttemptRecord> = attempts.iter().filter(|attempt| attempt.ran).collect();
         let (Some(first), Some(last)) = (ran.first(), ran.last()) else { return };
-        let wrong = match request.effect {
-            Effect::Free => false,
-            Effect::Once => ran.len() > 1 && !request.copied,
-            Effect::Keyed => last.begun_at > first.begun_at + self.site.window + HOLD_SLACK + SOCKET_SLACK,
+        let wrong = match request.semantics {
+            Semantics::Idempotent => false,
+            Semantics::AtMostOnce => ran.len() > 1 && !request.sent_twice,
+            Semantics::Keyed => {
+                last.first_byte_at > first.first_byte_at + self.site.dedup_window + HOLD_SLACK + SOCKET_SLACK
+            }
         };
         if wrong {
-            let text = format!("{:?} ran {} times: {ran:?}", request.effect, ran.len());
-            found.push(violation(Rule::Duplicate, Some(request.id), last.begun_at, text));
+            let text = format!("{:?} ran {} times: {ran:?}", request.semantics, ran.len());
+            found.push(violation(Rule::Duplicate, Some(request.id), last.first_byte_at, text));
         }
     }
 
     fn no_send_after_leave(&self, request: &RequestRecord, found: &mut Vec<Violation>) {
         let Some(left_at) = request.left_at else { return };
         for attempt in self.attempts(request.id) {
-            let late = attempt.begun_at - left_at;
+            let late = attempt.first_byte_at - left_at;
             if late > LEAVE_GRACE + self.slack {
                 let text = format!("begun {late:.0} ms after its client left; {request:?}; {attempt:?}");
-                found.push(violation(Rule::Leave, Some(request.id), attempt.begun_at, text));
+                found.push(violation(Rule::Leave, Some(request.id), attempt.first_byte_at, text));
             }
         }
     }
 
     fn no_longer_deadline(&self, request: &RequestRecord, found: &mut Vec<Violation>) {
         for attempt in self.attempts(request.id) {
-            let left = request.expires_at() - attempt.begun_at;
-            let Some(told) = attempt.told else { continue };
-            if told > left + DEADLINE_SLACK + self.slack {
-                let text = format!("told {told:.0} ms with {left:.0} ms left; {request:?}; {attempt:?}");
-                found.push(violation(Rule::Deadline, Some(request.id), attempt.begun_at, text));
+            let left = request.expires_at() - attempt.first_byte_at;
+            let Some(deadline) = attempt.deadline else { continue };
+            if deadline > left + DEADLINE_SLACK + self.slack {
+                let text = format!(
+                    "deadline of {deadline:.0} ms sent with {left:.0} ms left; {request:?}; {attempt:?}"
+                );
+                found.push(violation(Rule::Deadline, Some(request.id), attempt.first_byte_at, text));
             }
         }
     }
 
     fn well_formed(&self, found: &mut Vec<Violation>) {
-        for attempt in self.records.attempts.iter().filter(|attempt| attempt.whole_at.is_some()) {
+        for attempt in self.records.attempts.iter().filter(|attempt| attempt.received_at.is_some()) {
             let request = attempt.request.and_then(|id| self.records.requests.get(&id));
             let wrong = match request {
                 None => Some("it carries no request's id"),
-                Some(request) if request.effect == Effect::Keyed && !attempt.keyed => Some("it lost its key"),
+                Some(request) if request.semantics == Semantics::Keyed && !attempt.keyed => {
+                    Some("it lost its key")
+                }
                 Some(_) => None,
             };
             if let Some(wrong) = wrong {
                 let text = format!("{wrong}; {attempt:?}");
-                found.push(violation(Rule::Malformed, attempt.request, attempt.begun_at, text));
+                found.push(violation(Rule::Malformed, attempt.request, attempt.first_byte_at, text));
             }
         }
     }
 
     fn no_send_to_drained(&self, found: &mut Vec<Violation>) {
-        let told: HashMap<(usize, &str), Millis> =
-            self.records.told.iter().map(|told| ((told.gateway, told.server.as_str()), told.at)).collect();
+        let notified: HashMap<(usize, &str), Millis> = self
+            .records
+            .removal_notices
+            .iter()
+            .map(|notice| ((notice.gateway, notice.server.as_str()), notice.notified_at))
+            .collect();
         for attempt in &self.records.attempts {
             let Some(request) = attempt.request.and_then(|id| self.records.requests.get(&id)) else {
                 continue;
             };
-            let Some(told_at) = told.get(&(request.gateway, attempt.server.as_str())) else { continue };
-            let late = attempt.begun_at - told_at;
+            let Some(notified_at) = notified.get(&(request.gateway, attempt.server.as_str())) else {
+                continue;
+            };
+            let late = attempt.first_byte_at - notified_at;
             if late > self.site.drain_grace + SOCKET_SLACK + self.slack {
-                let text = format!("sent {late:.0} ms after it was told; {request:?}; {attempt:?}");
-                found.push(violation(Rule::Drain, Some(request.id), attempt.begun_at, text));
+                let text =
+                    format!("sent {late:.0} ms after the gateway was notified; {request:?}; {attempt:?}");
+                found.push(violation(Rule::Drain, Some(request.id), attempt.first_byte_at, text));
             }
         }
     }
 
     /// Whether the gateway that made an attempt had been told of a server's start by then.
-    fn knows_start(&self, attempt: &AttemptRecord, start: &ColdStart) -> bool {
+    fn was_notified_of_start(&self, attempt: &AttemptRecord, start: &ColdStart) -> bool {
         let request = attempt.request.and_then(|id| self.records.requests.get(&id));
-        let told = |gateway: usize| {
-            self.records.starts_told.iter().any(|told| {
-                let same = told.gateway == gateway && told.server == start.server;
-                same && told.at >= start.at && told.at <= attempt.begun_at
+        let notified = |gateway: usize| {
+            self.records.start_notices.iter().any(|notice| {
+                let same = notice.gateway == gateway && notice.server == start.server;
+                same && notice.notified_at >= start.at && notice.notified_at <= attempt.first_byte_at
             })
         };
-        request.is_some_and(|request| told(request.gateway))
+        request.is_some_and(|request| notified(request.gateway))
     }
 
     /// The rule is broken at a fall of which over two thirds came from gateways that had been told of the start.
@@ -263,22 +280,26 @@
                 .attempts
                 .iter()
                 .filter(|attempt| attempt.server == start.server)
-                .filter_map(|attempt| Some((attempt.whole_at?, self.knows_start(attempt, start))))
+                .filter_map(|attempt| {
+                    Some((attempt.received_at?, self.was_notified_of_start(attempt, start)))
+                })
                 .filter(|(at, _)| *at > start.at && *at < start.at + site.cold_for)
                 .collect();
             sends.sort_by(|one, other| one.0.total_cmp(&other.0));
             for (last, (at, _)) in sends.iter().enumerate() {
                 let warmth = site.cold_from + (1.0 - site.cold_from) * (at - start.at) / site.cold_for;
-                let allowed = site.tip_multiple * warmth * start.capacity * site.tip_after / 1000.0;
+                let allowed =
+                    site.overload_multiple * warmth * start.capacity * site.overload_window / 1000.0;
                 let factor = if allowed < 30.0 { (3.0, 3.0) } else { (2.0, 2.0) };
                 let bound = allowed + factor.0 * allowed.sqrt() + factor.1;
-                let window = sends[..=last].iter().filter(|(other, _)| *other > at - site.tip_after);
-                let (got, told) =
-                    window.fold((0, 0), |(got, told), (_, knows)| (got + 1, told + u32::from(*knows)));
-                if f64::from(got) > bound && 3 * told > 2 * got {
-                    let span = site.tip_after;
+                let window = sends[..=last].iter().filter(|(other, _)| *other > at - site.overload_window);
+                let (got, notified) = window.fold((0, 0), |(got, notified), (_, was_notified)| {
+                    (got + 1, notified + u32::from(*was_notified))
+                });
+                if f64::from(got) > bound && 3 * notified > 2 * got {
+                    let span = site.overload_window;
                     let text =
-                        format!("{got} requests, {told} told, of {bound:.1} in {span:.0} ms; {start:?}");
+                        format!("{got} requests ({notified} from notified gateways), at most {bound:.1} allowed in {span:.0} ms; {start:?}");
                     found.push(violation(Rule::SlowStart, None, *at, text));
                     break;
                 }
@@ -289,17 +310,17 @@
     fn ceilings(&self, found: &mut Vec<Violation>) {
         let mut tries: HashMap<u64, Vec<Millis>> = HashMap::new();
         for request in self.records.requests.values().filter(|request| PLANS[request.plan] == Plan::Ceiling) {
-            let first = self.attempts(request.id).iter().filter_map(|attempt| attempt.whole_at);
+            let first = self.attempts(request.id).iter().filter_map(|attempt| attempt.received_at);
             if let Some(at) = first.reduce(f64::min) {
                 tries.entry(request.customer).or_default().push(at);
             }
         }
-        let slack = CEILING_SLACK + CEILING_RATE * HOLD_SLACK / 1000.0;
+        let slack = CEILING_TOLERANCE + CEILING_RATE * HOLD_SLACK / 1000.0;
         for (customer, mut times) in tries {
             times.sort_by(f64::total_cmp);
-            let (mut store, mut last) = (CEILING_STORE, 0.0);
+            let (mut store, mut last) = (CEILING_DEPTH, 0.0);
             for at in times {
-                store = (store + (at - last) / 1000.0 * CEILING_RATE).min(CEILING_STORE) - 1.0;
+                store = (store + (at - last) / 1000.0 * CEILING_RATE).min(CEILING_DEPTH) - 1.0;
                 last = at;
                 if store < -slack {
                     let text = format!("customer {customer:x} is {:.1} below nothing", -store);
@@ -316,11 +337,11 @@
     /// the way to an answer for this customer. Until then it has its part of a store of its own, as all others have.
     fn quotas(&self, found: &mut Vec<Violation>) {
         let Some(meter) = self.site.meter else { return };
-        let between_answers = 1000.0 * self.site.gateways as f64 / self.site.offered_to_each_quota();
+        let between_answers = 1000.0 * self.site.gateways as f64 / self.site.offered_per_quota_customer();
         let learned_after = 2.0 * meter.period + meter.delay + 2.0 * between_answers + self.slack;
         let mut sends: HashMap<u64, Vec<Millis>> = HashMap::new();
         for request in self.records.requests.values().filter(|request| PLANS[request.plan] == Plan::Quota) {
-            let whole = self.attempts(request.id).iter().filter_map(|attempt| attempt.whole_at);
+            let whole = self.attempts(request.id).iter().filter_map(|attempt| attempt.received_at);
             if let Some(at) = whole.reduce(f64::min) {
                 sends.entry(request.customer).or_default().push(at);
             }
@@ -339,7 +360,13 @@
     fn beyond_quota(&self, sends: &[Millis], learned_after: Millis) -> Option<(Millis, Millis, usize, f64)> {
         let quota = self.site.quota;
         let part = (quota.burst + quota.rate * learned_after / 1000.0) / self.site.gateways as f64;
-        let starts: Vec<Millis> = self.records.lives.iter().flatten().filter_map(|life| life.ready).collect();
+        let starts: Vec<Millis> = self
+            .records
+            .incarnations
+            .iter()
+            .flatten()
+            .filter_map(|incarnation| incarnation.ready_at)
+            .collect();
         for (first, from) in sends.iter().enumerate() {
             for (last, to) in sends.iter().enumerate().skip(first) {
                 let sent = last - first + 1;
@@ -356,25 +383,25 @@
     }
 
     fn processes(&self, found: &mut Vec<Violation>) {
-        for (gateway, lives) in self.records.lives.iter().enumerate() {
-            for (number, life) in lives.iter().enumerate() {
+        for (gateway, incarnations) in self.records.incarnations.iter().enumerate() {
+            for (number, incarnation) in incarnations.iter().enumerate() {
                 let mut broken = |at, why: String| {
-                    let text = format!("gateway {gateway}, life {number}: {why}; {life:?}");
+                    let text = format!("gateway {gateway}, incarnation {number}: {why}; {incarnation:?}");
                     found.push(violation(Rule::Process, None, at, text));
                 };
-                match (life.ended, life.killed, life.terminated) {
+                match (incarnation.exited, incarnation.kill_sent_at, incarnation.term_sent_at) {
                     (Some((at, _)), None, None) => broken(at, "it ended by itself".into()),
                     (Some((at, false)), None, Some(_)) => broken(at, "it ended with an error".into()),
                     (Some((at, _)), Some(killed), Some(terminated))
-                        if life.log_unread && killed > terminated =>
+                        if incarnation.log_unread && killed > terminated =>
                     {
                         broken(at, "nobody read its log, and it did not end".into());
                     }
                     _ => {}
                 }
-                let until = life.ready.or(life.ended.map(|(at, _)| at));
-                if until.is_some_and(|at| at - life.started > READY_WITHIN) {
-                    broken(life.started, "it was not ready in time".into());
+                let until = incarnation.ready_at.or(incarnation.exited.map(|(at, _)| at));
+                if until.is_some_and(|at| at - incarnation.started_at > READY_WITHIN) {
+                    broken(incarnation.started_at, "it was not ready in time".into());
                 }
             }
         }
@@ -382,15 +409,16 @@
 
     fn bad_clients(&self, found: &mut Vec<Violation>) {
         for client in &self.records.bad_clients {
-            let life = self.life(client.gateway, client.life);
-            let over = life.and_then(|life| life.killed.or(life.ended.map(|(at, _)| at)));
-            let late = match (client.ended, over) {
-                (Some(at), _) => at - client.began > BAD_CLIENT_ENDS + self.slack,
+            let incarnation = self.incarnation(client.gateway, client.incarnation);
+            let over = incarnation
+                .and_then(|incarnation| incarnation.kill_sent_at.or(incarnation.exited.map(|(at, _)| at)));
+            let late = match (client.ended_at, over) {
+                (Some(at), _) => at - client.connected_at > BAD_CLIENT_ENDS + self.slack,
                 (None, Some(_)) => false,
                 (None, None) => true,
             };
             if late {
-                found.push(violation(Rule::BadClient, None, client.began, format!("{client:?}")));
+                found.push(violation(Rule::BadClient, None, client.connected_at, format!("{client:?}")));
             }
         }
     }
--- a/fault-soak/src/lib.rs
+++ b/fault-soak/src/lib.rs
@@ -9,10 +9,11 @@
 pub mod client;
 pub mod counter;
 pub mod discovery;
+pub mod event_log;
 pub mod gateway;
 pub mod http;
+mod injection;
 pub mod invariants;
-pub mod ledger;
 pub mod listener;
 pub mod meter;
 pub mod proxy;
@@ -21,4 +22,3 @@
 pub mod server;
 pub mod shim;
 pub mod site;
-mod troubles;
--- a/fault-soak/src/main.rs
+++ b/fault-soak/src/main.rs
@@ -1,9 +1,9 @@
 //! The command: plays seeds one after another and prints what broke.
 
 use clap::Parser;
-use fault_soak::ledger::Ending;
-use fault_soak::run::{play, Report, Setup};
-use fault_soak::scenario::{Scenario, TROUBLES_A_SECOND};
+use fault_soak::event_log::Outcome;
+use fault_soak::run::{run_scenario, Report, RunPaths};
+use fault_soak::scenario::{Scenario, FAULTS_PER_SECOND};
 use fault_soak::shim;
 use std::collections::BTreeMap;
 use std::fs;
@@ -29,7 +29,7 @@
     #[arg(long, default_value_t = 12.0)]
     seconds: f64,
     /// Troubles for each second of load.
-    #[arg(long, default_value_t = TROUBLES_A_SECOND)]
+    #[arg(long, default_value_t = FAULTS_PER_SECOND)]
     density: f64,
     /// Draws from the wide scenarios: a meter, two areas, long quiet starts, and more kinds of trouble.
     #[arg(long)]
@@ -46,7 +46,7 @@
     shown: usize,
     /// Prints the troubles of each seed, and the requests whose connection was closed on them.
     #[arg(long)]
-    troubles: bool,
+    print_faults: bool,
 }
 
 fn main() -> ExitCode {
@@ -77,14 +77,14 @@
     for seed in arguments.seed..arguments.seed + arguments.seeds {
         let folder = arguments.folder.join(format!("seed-{seed}"));
         fs::create_dir_all(&folder)?;
-        let setup = Setup { program: arguments.gateway.clone(), shim: Some(shim.clone()), folder };
+        let paths = RunPaths { program: arguments.gateway.clone(), shim: Some(shim.clone()), folder };
         let draw = match (arguments.hard, arguments.wide) {
             (true, _) => Scenario::draw_hard,
             (false, true) => Scenario::draw_wide,
             (false, false) => Scenario::draw_dense,
         };
         let scenario = draw(seed, arguments.gateways, arguments.seconds * 1000.0, arguments.density);
-        let report = play(scenario, &setup).await?;
+        let report = run_scenario(scenario, &paths).await?;
         print(&report, arguments);
         broken += usize::from(!report.violations.is_empty());
     }
@@ -96,11 +96,11 @@
     let records = &report.records;
     let mut endings: BTreeMap<String, usize> = BTreeMap::new();
     for request in records.requests.values() {
-        let name = match (&request.ending, request.left_at) {
+        let name = match (&request.outcome, request.left_at) {
             (_, Some(_)) => "left".to_string(),
-            (Some((Ending::Answer { status, .. }, _)), None) => status.to_string(),
-            (Some((Ending::Closed { .. }, _)), None) => "closed".to_string(),
-            (Some((Ending::Silence, _)), None) => "silence".to_string(),
+            (Some((Outcome::Response { status, .. }, _)), None) => status.to_string(),
+            (Some((Outcome::Closed { .. }, _)), None) => "closed".to_string(),
+            (Some((Outcome::NoResponse, _)), None) => "silence".to_string(),
             (None, None) => "open".to_string(),
         };
         *endings.entry(name).or_default() += 1;
@@ -114,20 +114,20 @@
         report.scenario.seed,
         records.requests.len(),
         records.attempts.len(),
-        records.rig_late,
+        records.rig_timer_delay,
     );
-    if arguments.troubles || !report.violations.is_empty() {
+    if arguments.print_faults || !report.violations.is_empty() {
         println!(
             "  mode {:?}, drain grace {:.0} ms",
             report.scenario.site.mode, report.scenario.site.drain_grace
         );
-        for note in &records.notes {
+        for note in &records.timeline {
             println!("  {:6.0} ms {}", note.at, note.text);
         }
     }
-    if arguments.troubles {
+    if arguments.print_faults {
         let closed = records.requests.values();
-        let closed = closed.filter(|request| matches!(request.ending, Some((Ending::Closed { .. }, _))));
+        let closed = closed.filter(|request| matches!(request.outcome, Some((Outcome::Closed { .. }, _))));
         closed.for_each(|request| println!("  closed: {request:?}"));
     }
     for violation in report.violations.iter().take(arguments.shown) {
--- a/fault-soak/src/meter.rs
+++ b/fault-soak/src/meter.rs
@@ -1,7 +1,7 @@
 //! The meter of use: units that customers' requests have taken over all gateways, told by answers, late and by
 //! whole periods.
 
-use crate::ledger::{Millis, RequestId};
+use crate::event_log::{Millis, RequestId};
 use std::collections::{HashMap, HashSet};
 use std::sync::Mutex;
 
@@ -37,7 +37,7 @@
 
     /// Counts a request's unit, at its first attempt.
     pub fn count(&self, request: RequestId, customer: u64, now: Millis) {
-        let mut counted = self.counted.lock().expect("no one panics while holding it");
+        let mut counted = self.counted.lock().expect("lock not poisoned");
         if counted.requests.insert(request) {
             *counted.units.entry((customer, self.period_at(now))).or_default() += 1.0;
         }
@@ -45,9 +45,9 @@
 
     /// The use, in percent of a rate in units a second, in the last period that is told by now.
     pub fn percent(&self, customer: u64, rate: f64, now: Millis) -> f64 {
-        let told = self.period_at(now - self.settings.delay) - 1;
-        let counted = self.counted.lock().expect("no one panics while holding it");
-        let units = counted.units.get(&(customer, told)).copied().unwrap_or_default();
+        let reported = self.period_at(now - self.settings.delay) - 1;
+        let counted = self.counted.lock().expect("lock not poisoned");
+        let units = counted.units.get(&(customer, reported)).copied().unwrap_or_default();
         100.0 * units / (rate * self.settings.period / 1000.0)
     }
 
--- a/fault-soak/src/proxy.rs
+++ b/fault-soak/src/proxy.rs
@@ -15,13 +15,13 @@
 
 /// What the proxy does to answers.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct LineFaults {
+pub struct ProxyFaults {
     /// Nothing passes in either direction; connections stay open and silent.
-    pub cut: bool,
+    pub blackhole: bool,
     /// Each piece of an answer comes this much later.
     pub delay: Duration,
     /// Answers come in pieces of this many bytes; 0: as they were written.
-    pub piece: usize,
+    pub chunk_size: usize,
 }
 
 /// Between two pieces of an answer.
@@ -32,7 +32,7 @@
 pub struct Proxy {
     /// Where gateways connect.
     pub address: SocketAddr,
-    faults: watch::Sender<LineFaults>,
+    faults: watch::Sender<ProxyFaults>,
     resets: watch::Sender<u64>,
     target: Arc<Mutex<Option<SocketAddr>>>,
 }
@@ -42,13 +42,13 @@
     pub async fn start(ip: Ipv4Addr, target: Option<SocketAddr>) -> Proxy {
         let listener = listen(ip).expect("loopback has a free port");
         let address = listener.local_addr().expect("a bound socket has an address");
-        let (faults, seen_faults) = watch::channel(LineFaults::default());
+        let (faults, seen_faults) = watch::channel(ProxyFaults::default());
         let (resets, seen_resets) = watch::channel(0);
         let target = Arc::new(Mutex::new(target));
         let current = target.clone();
         tokio::spawn(async move {
             while let Ok((near, _)) = listener.accept().await {
-                let at = *current.lock().expect("no one panics while holding it");
+                let at = *current.lock().expect("lock not poisoned");
                 tokio::spawn(carry(near, at, seen_faults.clone(), seen_resets.clone()));
             }
         });
@@ -56,17 +56,17 @@
     }
 
     /// Puts faults into force.
-    pub fn set(&self, faults: LineFaults) {
+    pub fn set_faults(&self, faults: ProxyFaults) {
         self.faults.send_replace(faults);
     }
 
     /// Leads new connections elsewhere.
-    pub fn aim(&self, target: Option<SocketAddr>) {
-        *self.target.lock().expect("no one panics while holding it") = target;
+    pub fn set_target(&self, target: Option<SocketAddr>) {
+        *self.target.lock().expect("lock not poisoned") = target;
     }
 
     /// Resets all connections.
-    pub fn reset_all(&self) {
+    pub fn reset_connections(&self) {
         self.resets.send_modify(|count| *count += 1);
     }
 }
@@ -79,7 +79,7 @@
 async fn carry(
     mut near: TcpStream,
     at: Option<SocketAddr>,
-    faults: watch::Receiver<LineFaults>,
+    faults: watch::Receiver<ProxyFaults>,
     mut resets: watch::Receiver<u64>,
 ) {
     let _ = near.set_nodelay(true);
@@ -103,7 +103,7 @@
                     let _ = far_write.shutdown().await;
                     return true;
                 }
-                Ok(_) if faults.borrow().cut => {}
+                Ok(_) if faults.borrow().blackhole => {}
                 Ok(count) => {
                     if far_write.write_all(&bytes[..count]).await.is_err() {
                         return true;
@@ -120,16 +120,16 @@
                 Ok(0) => return false,
                 Ok(count) => {
                     let now = *faults.borrow();
-                    if now.cut {
+                    if now.blackhole {
                         continue;
                     }
                     sleep_if_any(now.delay).await;
-                    let piece = if now.piece == 0 { count } else { now.piece };
+                    let piece = if now.chunk_size == 0 { count } else { now.chunk_size };
                     for part in bytes[..count].chunks(piece) {
                         if near_write.write_all(part).await.is_err() {
                             return false;
                         }
-                        if now.piece > 0 {
+                        if now.chunk_size > 0 {
                             sleep(PIECE_GAP).await;
                         }
                     }
--- a/fault-soak/src/run.rs
+++ b/fault-soak/src/run.rs
@@ -3,16 +3,16 @@
 use crate::client::Clients;
 use crate::counter::Counter;
 use crate::discovery::{Discovery, Entry, State};
-use crate::gateway::{Gateway, Told};
+use crate::event_log::{EventLog, Millis, Records};
+use crate::gateway::{Gateway, PeerConfig};
+use crate::injection::StartMode;
 use crate::invariants::{check, Rule, Violation};
-use crate::ledger::{Ledger, Millis, Records};
 use crate::meter::Meter;
 use crate::proxy::Proxy;
-use crate::scenario::{Event, Scenario, Trouble};
+use crate::scenario::{Fault, Scenario, ScheduledFault};
 use crate::server::{Server, Usage};
 use crate::shim::Faults;
 use crate::site::Site;
-use crate::troubles::Start;
 use oorandom::Rand64;
 use std::net::Ipv4Addr;
 use std::path::{Path, PathBuf};
@@ -28,7 +28,7 @@
 const SETTLE: Duration = Duration::from_secs(9);
 /// Where a run finds what it starts and leaves its files.
 #[derive(Debug, Clone)]
-pub struct Setup {
+pub struct RunPaths {
     /// The gateway's program.
     pub program: PathBuf,
     /// The preloaded library, if any.
@@ -49,37 +49,37 @@
 }
 
 /// All that a run has going.
-pub(crate) struct World {
+pub(crate) struct Rig {
     pub(crate) site: Arc<Site>,
-    pub(crate) ledger: Arc<Ledger>,
+    pub(crate) event_log: Arc<EventLog>,
     pub(crate) gateways: Vec<Arc<Gateway>>,
     /// Servers by the order in which they joined; those that went stay here.
     pub(crate) servers: Mutex<Vec<(Arc<Server>, State)>>,
     pub(crate) discovery: Arc<Discovery>,
     pub(crate) usage: Option<Usage>,
     /// Where the counter is now.
-    pub(crate) counter: Mutex<Arc<PlacedCounter>>,
+    pub(crate) counter: Mutex<Arc<ProxiedCounter>>,
     pub(crate) wall_clock_offset: AtomicI64,
     pub(crate) rng: Mutex<Rand64>,
-    pub(crate) faults: Mutex<Vec<Faults>>,
-    pub(crate) leaving: Arc<AtomicBool>,
+    pub(crate) syscall_faults: Mutex<Vec<Faults>>,
+    pub(crate) most_leave: Arc<AtomicBool>,
     pub(crate) discovery_addresses: Mutex<Vec<std::net::SocketAddr>>,
     /// The last id that a client gave a request.
     pub(crate) ids: Arc<AtomicU64>,
-    spares: Mutex<Vec<Trouble>>,
+    substitutes: Mutex<Vec<Fault>>,
 }
 
 /// A counter and the line to it.
-pub(crate) struct PlacedCounter {
+pub(crate) struct ProxiedCounter {
     pub(crate) counter: Counter,
-    pub(crate) line: Proxy,
+    pub(crate) proxy: Proxy,
 }
 
-impl PlacedCounter {
-    pub(crate) async fn start() -> Arc<PlacedCounter> {
+impl ProxiedCounter {
+    pub(crate) async fn start() -> Arc<ProxiedCounter> {
         let counter = Counter::start().await;
-        let line = Proxy::start(Ipv4Addr::new(127, 88, 0, 5), Some(counter.address)).await;
-        Arc::new(PlacedCounter { counter, line })
+        let proxy = Proxy::start(Ipv4Addr::new(127, 88, 0, 5), Some(counter.address)).await;
+        Arc::new(ProxiedCounter { counter, proxy })
     }
 }
 
@@ -87,48 +87,48 @@
 ///
 /// # Errors
 /// What the system says of the run's files.
-pub async fn play(scenario: Scenario, setup: &Setup) -> io::Result<Report> {
+pub async fn run_scenario(scenario: Scenario, paths: &RunPaths) -> io::Result<Report> {
     let site = Arc::new(scenario.site.clone());
-    let ledger = Arc::new(Ledger::new(site.gateways));
-    let discovery = Discovery::new(ledger.clone(), site.mode, site.gateways);
-    let counter = Mutex::new(PlacedCounter::start().await);
+    let event_log = Arc::new(EventLog::new(site.gateways));
+    let discovery = Discovery::new(event_log.clone(), site.mode, site.gateways);
+    let counter = Mutex::new(ProxiedCounter::start().await);
     let meter = site.meter.map(|settings| Arc::new(Meter::new(settings)));
     let usage = meter.map(|meter| Usage { meter, site: site.clone() });
-    let gateways = start_files(&site, &ledger, setup)?;
-    let world = Arc::new(World {
+    let gateways = start_files(&site, &event_log, paths)?;
+    let rig = Arc::new(Rig {
         servers: Mutex::new(Vec::new()),
         wall_clock_offset: AtomicI64::new(0),
         rng: Mutex::new(Rand64::new(u128::from(scenario.seed) << 8)),
-        faults: Mutex::new(vec![Faults::default(); site.gateways]),
-        leaving: Arc::new(AtomicBool::new(false)),
+        syscall_faults: Mutex::new(vec![Faults::default(); site.gateways]),
+        most_leave: Arc::new(AtomicBool::new(false)),
         discovery_addresses: Mutex::new(Vec::new()),
         ids: Arc::new(AtomicU64::new(1)),
-        spares: Mutex::new(scenario.spares.clone()),
+        substitutes: Mutex::new(scenario.substitutes.clone()),
         site: site.clone(),
-        ledger: ledger.clone(),
+        event_log: event_log.clone(),
         gateways,
         discovery,
         usage,
         counter,
     });
     for _ in 0..site.servers {
-        let server = world.join_server(None).await;
-        world.discovery.seed(world.entry(&server, State::Ready, 0));
+        let server = rig.join_server(None).await;
+        rig.discovery.publish_at_start(rig.entry(&server, State::Ready, 0));
     }
-    world.start_gateways().await;
-    let lateness = tokio::spawn(watch_lateness(ledger.clone()));
-    let load = world.clone().load(scenario.seed);
-    let troubles = world.clone().play_events(scenario.events.clone());
-    let (_, ()) = tokio::join!(load, troubles);
+    rig.start_gateways().await;
+    let lateness = tokio::spawn(watch_lateness(event_log.clone()));
+    let load = rig.clone().load(scenario.seed);
+    let faults = rig.clone().inject_all(scenario.schedule.clone());
+    let (_, ()) = tokio::join!(load, faults);
     sleep(Duration::from_millis(200)).await;
     lateness.abort();
-    for gateway in &world.gateways {
+    for gateway in &rig.gateways {
         gateway.kill().await;
     }
-    drop(world);
-    let records = ledger.with(std::mem::take);
+    drop(rig);
+    let records = event_log.with(std::mem::take);
     let mut violations = check(&site, &records);
-    violations.extend(reported(site.gateways, &setup.folder)?);
+    violations.extend(reported(site.gateways, &paths.folder)?);
     Ok(Report { scenario, violations, records })
 }
 
@@ -148,19 +148,25 @@
     Ok(found)
 }
 
-fn start_files(site: &Site, ledger: &Arc<Ledger>, setup: &Setup) -> io::Result<Vec<Arc<Gateway>>> {
+fn start_files(site: &Site, event_log: &Arc<EventLog>, paths: &RunPaths) -> io::Result<Vec<Arc<Gateway>>> {
     let one = |index| {
-        Gateway::new(index, ledger.clone(), &setup.program, setup.shim.as_deref(), Path::new(&setup.folder))
+        Gateway::new(
+            index,
+            event_log.clone(),
+            &paths.program,
+            paths.shim.as_deref(),
+            Path::new(&paths.folder),
+        )
     };
     (0..site.gateways).map(|index| one(index).map(Arc::new)).collect()
 }
 
-async fn watch_lateness(ledger: Arc<Ledger>) {
+async fn watch_lateness(event_log: Arc<EventLog>) {
     loop {
-        let before = ledger.now();
+        let before = event_log.now();
         sleep(LATENESS_PERIOD).await;
-        let late = ledger.now() - before - LATENESS_PERIOD.as_secs_f64() * 1000.0;
-        ledger.with(|records| records.rig_late = records.rig_late.max(late));
+        let late = event_log.now() - before - LATENESS_PERIOD.as_secs_f64() * 1000.0;
+        event_log.with(|records| records.rig_timer_delay = records.rig_timer_delay.max(late));
     }
 }
 
@@ -177,9 +183,9 @@
     Duration::from_secs_f64(span / 1000.0)
 }
 
-impl World {
+impl Rig {
     pub(crate) fn entry(&self, server: &Server, state: State, boot_ms: i64) -> Entry {
-        Entry { uid: server.uid.clone(), endpoint: server.address(), area: server.area, state, boot_ms }
+        Entry { uid: server.uid.clone(), endpoint: server.address(), zone: server.zone, state, boot_ms }
     }
 
     /// What all wall clocks say.
@@ -189,25 +195,25 @@
     }
 
     pub(crate) fn draw(&self) -> u64 {
-        self.rng.lock().expect("no one panics while holding it").rand_u64()
+        self.rng.lock().expect("lock not poisoned").rand_u64()
     }
 
     /// A new server; one with a capacity starts cold.
     pub(crate) async fn join_server(&self, capacity: Option<f64>) -> Arc<Server> {
         let seed = self.draw();
         let uid = format!("s-{:08x}", seed as u32);
-        let area = self.servers.lock().expect("no one panics while holding it").len() % self.site.areas;
-        let server = Server::new(uid, area, self.ledger.clone(), self.usage.clone(), seed).await;
+        let zone = self.servers.lock().expect("lock not poisoned").len() % self.site.zones;
+        let server = Server::new(uid, zone, self.event_log.clone(), self.usage.clone(), seed).await;
         let server = Arc::new(server);
         server.start(capacity).await;
-        self.servers.lock().expect("no one panics while holding it").push((server.clone(), State::Ready));
+        self.servers.lock().expect("lock not poisoned").push((server.clone(), State::Ready));
         server
     }
 
-    pub(crate) fn told(&self, gateway: usize) -> Told {
-        Told {
-            discovery: self.discovery_addresses.lock().expect("no one panics while holding it")[gateway],
-            counter: self.counter().line.address,
+    pub(crate) fn peers(&self, gateway: usize) -> PeerConfig {
+        PeerConfig {
+            discovery: self.discovery_addresses.lock().expect("lock not poisoned")[gateway],
+            counter: self.counter().proxy.address,
             known: self.discovery.list(gateway),
         }
     }
@@ -215,28 +221,28 @@
     async fn start_gateways(self: &Arc<Self>) {
         for gateway in 0..self.gateways.len() {
             let address = self.discovery.listen(gateway).await;
-            self.discovery_addresses.lock().expect("no one panics while holding it").push(address);
+            self.discovery_addresses.lock().expect("lock not poisoned").push(address);
         }
         let mut starts = tokio::task::JoinSet::new();
         for gateway in self.gateways.clone() {
-            let world = self.clone();
-            starts.spawn(async move { world.start(&gateway).await });
+            let rig = self.clone();
+            starts.spawn(async move { rig.start(&gateway).await });
         }
         all_of(starts).await;
     }
 
-    pub(crate) fn counter(&self) -> Arc<PlacedCounter> {
-        self.counter.lock().expect("no one panics while holding it").clone()
+    pub(crate) fn counter(&self) -> Arc<ProxiedCounter> {
+        self.counter.lock().expect("lock not poisoned").clone()
     }
 
     pub(crate) async fn start(&self, gateway: &Arc<Gateway>) {
-        self.start_as(gateway, Start::Usual).await;
+        self.start_as(gateway, StartMode::Normal).await;
     }
 
     /// Clients of a gateway that share no connection with any others.
     pub(crate) fn clients(&self, gateway: &Arc<Gateway>) -> Arc<Clients> {
-        let (site, ledger) = (self.site.clone(), self.ledger.clone());
-        Clients::new(gateway.clone(), site, ledger, self.ids.clone(), self.leaving.clone())
+        let (site, event_log) = (self.site.clone(), self.event_log.clone());
+        Clients::new(gateway.clone(), site, event_log, self.ids.clone(), self.most_leave.clone())
     }
 
     async fn load(self: Arc<Self>, seed: u64) {
@@ -248,27 +254,28 @@
     }
 
     /// A trouble whose gateways are all down would come to nothing: a spare one takes its place, if there is one.
-    fn replace_if_moot(&self, event: &mut Event) {
-        let is_moot = |trouble: &Trouble| {
-            let gateways = trouble.gateways();
-            !gateways.is_empty() && gateways.iter().all(|gateway| self.gateways[*gateway].intake().is_none())
+    fn substitute_if_gateways_down(&self, event: &mut ScheduledFault) {
+        let gateways_down = |fault: &Fault| {
+            let gateways = fault.gateways();
+            !gateways.is_empty()
+                && gateways.iter().all(|gateway| self.gateways[*gateway].availability().is_none())
         };
-        let mut spares = self.spares.lock().expect("no one panics while holding it");
-        while is_moot(&event.trouble) {
-            let Some(spare) = spares.pop() else { return };
-            event.trouble = spare;
+        let mut substitutes = self.substitutes.lock().expect("lock not poisoned");
+        while gateways_down(&event.fault) {
+            let Some(substitute) = substitutes.pop() else { return };
+            event.fault = substitute;
         }
     }
 
-    async fn play_events(self: Arc<Self>, events: Vec<Event>) {
+    async fn inject_all(self: Arc<Self>, schedule: Vec<ScheduledFault>) {
         let mut playing = tokio::task::JoinSet::new();
-        for mut event in events {
-            sleep(millis((event.at - self.ledger.now()).max(0.0))).await;
-            self.replace_if_moot(&mut event);
-            self.ledger.note(format!("{:?} for {:.0} ms", event.trouble, event.lasts));
-            playing.spawn(self.clone().one(event));
+        for mut event in schedule {
+            sleep(millis((event.at - self.event_log.now()).max(0.0))).await;
+            self.substitute_if_gateways_down(&mut event);
+            self.event_log.add_to_timeline(format!("{:?} for {:.0} ms", event.fault, event.duration));
+            playing.spawn(self.clone().inject(event));
         }
         let all = all_of(playing);
-        let _ = timeout(SETTLE + millis(self.site.span), all).await;
+        let _ = timeout(SETTLE + millis(self.site.load_duration), all).await;
     }
 }
--- a/fault-soak/src/server.rs
+++ b/fault-soak/src/server.rs
@@ -1,7 +1,7 @@
 //! A props server: it runs requests, and misbehaves as it is told.
 
-use crate::http::{Broken, Reader};
-use crate::ledger::{AttemptRecord, ColdStart, Ledger, Millis, RequestId};
+use crate::event_log::{AttemptRecord, ColdStart, EventLog, Millis, RequestId};
+use crate::http::{ReadError, Reader};
 use crate::listener::listen;
 use crate::meter::Meter;
 use crate::proxy::{reset_on_close, Proxy};
@@ -17,31 +17,31 @@
 
 /// How often a server does each odd thing, from 0 to 1.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Manners {
+pub struct ServerBehaviour {
     /// Takes a request and never answers.
     pub hang: f64,
     /// Answers 500 after it ran.
     pub error: f64,
     /// Turns a request away unseen.
-    pub full: f64,
+    pub reject: f64,
     /// Resets the connection after the request ran.
     pub reset: f64,
     /// Answers with what is no HTTP.
-    pub spoil: f64,
+    pub malformed: f64,
     /// Answers with up to 60 KB.
-    pub big: f64,
+    pub large_body: f64,
     /// Sends an interim answer ahead.
     pub interim: f64,
     /// Answers without an end.
     pub endless: f64,
     /// Sends a second answer some milliseconds behind the first.
-    pub second: f64,
+    pub second_response: f64,
     /// Answers without a length and ends the connection, half of the time by a reset.
     pub no_length: f64,
     /// Closes the connection some milliseconds behind an answer.
     pub close: f64,
     /// Factor on the time that an answer takes.
-    pub slow: f64,
+    pub work_factor: f64,
 }
 
 /// Longest pause before a connection is closed, or a second answer sent, behind an answer.
@@ -55,12 +55,12 @@
     /// Its name on the list.
     pub uid: String,
     /// The area it stands in.
-    pub area: usize,
+    pub zone: usize,
     /// The line to it, whose address is on the list.
-    pub line: Proxy,
-    manners: Arc<Mutex<Manners>>,
+    pub proxy: Proxy,
+    behaviour: Arc<Mutex<ServerBehaviour>>,
     running: Mutex<Option<JoinHandle<()>>>,
-    ledger: Arc<Ledger>,
+    event_log: Arc<EventLog>,
     usage: Option<Usage>,
     seed: u64,
     starts: Mutex<u64>,
@@ -77,11 +77,11 @@
 
 impl Usage {
     /// Counts a request that has come whole and returns the header that tells of its customer's use.
-    fn count(&self, ledger: &Ledger, id: RequestId) -> String {
+    fn count(&self, event_log: &EventLog, id: RequestId) -> String {
         let asked =
-            ledger.with(|records| records.requests.get(&id).map(|record| (record.customer, record.plan)));
+            event_log.with(|records| records.requests.get(&id).map(|record| (record.customer, record.plan)));
         let Some((customer, plan)) = asked else { return String::new() };
-        let now = ledger.now();
+        let now = event_log.now();
         self.meter.count(id, customer, now);
         let rate = PLANS[plan].rate(self.site.quota);
         if rate <= 0.0 {
@@ -95,31 +95,32 @@
     /// A server that is not running yet.
     pub async fn new(
         uid: String,
-        area: usize,
-        ledger: Arc<Ledger>,
+        zone: usize,
+        event_log: Arc<EventLog>,
         usage: Option<Usage>,
         seed: u64,
     ) -> Server {
-        let line = Proxy::start(Ipv4Addr::new(127, 88, 0, 1), None).await;
-        let manners = Arc::new(Mutex::new(Manners { slow: 1.0, ..Manners::default() }));
+        let proxy = Proxy::start(Ipv4Addr::new(127, 88, 0, 1), None).await;
+        let behaviour =
+            Arc::new(Mutex::new(ServerBehaviour { work_factor: 1.0, ..ServerBehaviour::default() }));
         let (running, starts) = (Mutex::new(None), Mutex::new(0));
-        Server { uid, area, line, manners, running, ledger, usage, seed, starts }
+        Server { uid, zone, proxy, behaviour, running, event_log, usage, seed, starts }
     }
 
     /// Starts it; `capacity` is set if it starts cold and the list tells of it.
     pub async fn start(&self, capacity: Option<f64>) {
         let listener = listen(Ipv4Addr::new(127, 88, 0, 2)).expect("a free port");
-        self.line.aim(listener.local_addr().ok());
+        self.proxy.set_target(listener.local_addr().ok());
         let nth = {
-            let mut starts = self.starts.lock().expect("no one panics while holding it");
+            let mut starts = self.starts.lock().expect("lock not poisoned");
             *starts += 1;
             *starts
         };
         if let Some(capacity) = capacity {
-            let start = ColdStart { server: self.uid.clone(), at: self.ledger.now(), capacity };
-            self.ledger.with(|records| records.cold_starts.push(start));
+            let start = ColdStart { server: self.uid.clone(), at: self.event_log.now(), capacity };
+            self.event_log.with(|records| records.cold_starts.push(start));
         }
-        let (uid, ledger, manners) = (self.uid.clone(), self.ledger.clone(), self.manners.clone());
+        let (uid, event_log, behaviour) = (self.uid.clone(), self.event_log.clone(), self.behaviour.clone());
         let usage = self.usage.clone();
         let mut rng = Rand64::new(u128::from(self.seed) << 32 | u128::from(nth));
         let task = tokio::spawn(async move {
@@ -129,42 +130,42 @@
                 let rng = Rand64::new(u128::from(rng.rand_u64()));
                 let connection = Connection {
                     uid: uid.clone(),
-                    ledger: ledger.clone(),
+                    event_log: event_log.clone(),
                     usage: usage.clone(),
-                    manners: manners.clone(),
+                    behaviour: behaviour.clone(),
                     rng,
                 };
                 connections.spawn(connection.serve(stream));
             }
         });
-        *self.running.lock().expect("no one panics while holding it") = Some(task);
+        *self.running.lock().expect("lock not poisoned") = Some(task);
     }
 
     /// Ends it at once with all its connections.
     pub fn crash(&self) {
-        self.line.aim(None);
-        if let Some(task) = self.running.lock().expect("no one panics while holding it").take() {
+        self.proxy.set_target(None);
+        if let Some(task) = self.running.lock().expect("lock not poisoned").take() {
             task.abort();
         }
-        self.line.reset_all();
+        self.proxy.reset_connections();
     }
 
     /// Changes how it behaves from the next request on.
-    pub fn behave(&self, manners: Manners) {
-        *self.manners.lock().expect("no one panics while holding it") = manners;
+    pub fn set_behaviour(&self, behaviour: ServerBehaviour) {
+        *self.behaviour.lock().expect("lock not poisoned") = behaviour;
     }
 
     /// Where gateways reach it.
     pub fn address(&self) -> SocketAddr {
-        self.line.address
+        self.proxy.address
     }
 }
 
 struct Connection {
     uid: String,
-    ledger: Arc<Ledger>,
+    event_log: Arc<EventLog>,
     usage: Option<Usage>,
-    manners: Arc<Mutex<Manners>>,
+    behaviour: Arc<Mutex<ServerBehaviour>>,
     rng: Rand64,
 }
 
@@ -197,25 +198,25 @@
         let _ = stream.set_nodelay(true);
         let mut reader = Reader::new(stream);
         loop {
-            if reader.first_byte().await.is_err() {
+            if reader.wait_for_byte().await.is_err() {
                 return;
             }
-            let begun_at = self.ledger.now();
-            let place = self.ledger.begin_attempt(AttemptRecord {
+            let first_byte_at = self.event_log.now();
+            let place = self.event_log.begin_attempt(AttemptRecord {
                 request: None,
                 server: self.uid.clone(),
-                begun_at,
-                whole_at: None,
-                told: None,
+                first_byte_at,
+                received_at: None,
+                deadline: None,
                 keyed: false,
                 ran: false,
-                over_at: None,
-                treatment: "incomplete",
+                finished_at: None,
+                handling: "incomplete",
             });
             let on = self.one(&mut reader, place).await;
-            let now = self.ledger.now();
-            self.ledger.attempt(place, |attempt| {
-                attempt.over_at.get_or_insert(now);
+            let now = self.event_log.now();
+            self.event_log.attempt(place, |attempt| {
+                attempt.finished_at.get_or_insert(now);
             });
             if !matches!(on, Ok(true)) {
                 return;
@@ -224,43 +225,49 @@
     }
 
     /// Handles one request; true if the connection goes on.
-    async fn one(&mut self, reader: &mut Reader<TcpStream>, place: usize) -> Result<bool, Broken> {
-        let message = reader.message().await?;
-        let whole_at = self.ledger.now();
+    async fn one(&mut self, reader: &mut Reader<TcpStream>, place: usize) -> Result<bool, ReadError> {
+        let message = reader.read_message().await?;
+        let received_at = self.event_log.now();
         let request = message.header("x-request-id").and_then(|id| RequestId::from_str_radix(id, 16).ok());
-        let told = message.header("x-deadline").and_then(span);
+        let deadline = message.header("x-deadline").and_then(span);
         let keyed = message.header("idempotency-key").is_some();
-        self.ledger.attempt(place, |attempt| {
+        self.event_log.attempt(place, |attempt| {
             attempt.request = request;
-            attempt.whole_at = Some(whole_at);
-            attempt.told = told;
+            attempt.received_at = Some(received_at);
+            attempt.deadline = deadline;
             attempt.keyed = keyed;
         });
         let Some(id) = request else {
-            self.ledger.attempt(place, |attempt| attempt.treatment = "no id: 404");
+            self.event_log.attempt(place, |attempt| attempt.handling = "no id: 404");
             return Ok(reader.stream.write_all(&answer("404 Not Found", "", "")).await.is_ok());
         };
-        let manners = *self.manners.lock().expect("no one panics while holding it");
-        if self.rng.rand_float() < manners.full {
-            self.ledger.attempt(place, |attempt| attempt.treatment = "turned away");
+        let behaviour = *self.behaviour.lock().expect("lock not poisoned");
+        if self.rng.rand_float() < behaviour.reject {
+            self.event_log.attempt(place, |attempt| attempt.handling = "turned away");
             let bytes = answer("503 Service Unavailable", "X-Not-Run: 1\r\n", "");
             return Ok(reader.stream.write_all(&bytes).await.is_ok());
         }
-        self.ledger.attempt(place, |attempt| attempt.ran = true);
-        let work = WORK_MS * manners.slow * (0.3 + 1.4 * self.rng.rand_float());
-        let used = self.usage.as_ref().map_or_else(String::new, |usage| usage.count(&self.ledger, id));
-        let (name, treatment) = self.treatment(&manners, id, &used);
-        self.ledger.attempt(place, |attempt| attempt.treatment = name);
+        self.event_log.attempt(place, |attempt| attempt.ran = true);
+        let work = WORK_MS * behaviour.work_factor * (0.3 + 1.4 * self.rng.rand_float());
+        let used = self.usage.as_ref().map_or_else(String::new, |usage| usage.count(&self.event_log, id));
+        let (name, treatment) = self.treatment(&behaviour, id, &used);
+        self.event_log.attempt(place, |attempt| attempt.handling = name);
         // Whoever gives the attempt up closes the connection meanwhile.
         tokio::select! {
             () = sleep(Duration::from_secs_f64(work / 1000.0)) => {}
-            _ = reader.first_byte() => return Ok(false),
+            _ = reader.wait_for_byte() => return Ok(false),
         }
         self.carry_out(reader, treatment, place).await
     }
 
-    fn treatment(&mut self, manners: &Manners, id: RequestId, used: &str) -> (&'static str, Treatment) {
-        let filling = if self.rng.rand_float() < manners.big { self.rng.rand_range(0..60_000) } else { 0 };
+    fn treatment(
+        &mut self,
+        behaviour: &ServerBehaviour,
+        id: RequestId,
+        used: &str,
+    ) -> (&'static str, Treatment) {
+        let filling =
+            if self.rng.rand_float() < behaviour.large_body { self.rng.rand_range(0..60_000) } else { 0 };
         let body = served_body(id, &self.uid, filling as usize);
         let good = answer("200 OK", used, &body);
         let mut left = self.rng.rand_float();
@@ -269,25 +276,25 @@
             left < 0.0
         };
         let write = |bytes, then| Treatment::Write { bytes, then };
-        if falls(manners.hang) {
+        if falls(behaviour.hang) {
             ("hang", Treatment::Hang)
-        } else if falls(manners.error) {
+        } else if falls(behaviour.error) {
             ("error", write(answer("500 Internal Server Error", "", ""), Then::KeepAlive))
-        } else if falls(manners.reset) {
+        } else if falls(behaviour.reset) {
             ("reset", Treatment::Reset)
-        } else if falls(manners.spoil) {
+        } else if falls(behaviour.malformed) {
             ("spoilt", write(b"HTTP/1.1 2x0 what\r\nContent-Length: -4\r\n\r\n".to_vec(), Then::KeepAlive))
-        } else if falls(manners.endless) {
+        } else if falls(behaviour.endless) {
             let head = "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n";
             ("endless", Treatment::Endless(format!("{head}{body}").into_bytes()))
-        } else if falls(manners.interim) {
+        } else if falls(behaviour.interim) {
             let bytes = [b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n", good.as_slice()].concat();
             ("interim answer ahead", write(bytes, Then::KeepAlive))
-        } else if falls(manners.second) {
+        } else if falls(behaviour.second_response) {
             ("second answer", write(good, Then::Second(answer("200 OK", "", "of nobody"))))
-        } else if falls(manners.no_length / 2.0) {
+        } else if falls(behaviour.no_length / 2.0) {
             ("no length", write(format!("HTTP/1.1 200 OK\r\n\r\n{body}").into_bytes(), Then::Close))
-        } else if falls(manners.no_length / 2.0) {
+        } else if falls(behaviour.no_length / 2.0) {
             (
                 "no length, reset",
                 write(
@@ -295,7 +302,7 @@
                     Then::Reset,
                 ),
             )
-        } else if falls(manners.close) {
+        } else if falls(behaviour.close) {
             ("answer, close", write(good, Then::Close))
         } else {
             ("answer", write(good, Then::KeepAlive))
@@ -307,10 +314,10 @@
         reader: &mut Reader<TcpStream>,
         treatment: Treatment,
         place: usize,
-    ) -> Result<bool, Broken> {
+    ) -> Result<bool, ReadError> {
         let (bytes, then) = match treatment {
             Treatment::Hang => {
-                let _ = reader.first_byte().await;
+                let _ = reader.wait_for_byte().await;
                 return Ok(false);
             }
             Treatment::Endless(bytes) => {
@@ -326,8 +333,8 @@
             Treatment::Write { bytes, then } => (bytes, then),
         };
         let written = reader.stream.write_all(&bytes).await.is_ok();
-        let now = self.ledger.now();
-        self.ledger.attempt(place, |attempt| attempt.over_at = Some(now));
+        let now = self.event_log.now();
+        self.event_log.attempt(place, |attempt| attempt.finished_at = Some(now));
         let behind = Duration::from_secs_f64(BEHIND_ANSWER_MS * self.rng.rand_float() / 1000.0);
         match then {
             Then::KeepAlive => Ok(written),
--- a/fault-soak/src/site.rs
+++ b/fault-soak/src/site.rs
@@ -1,7 +1,7 @@
 //! The parameters of one site: gateways, servers, classes, plans, and the settings that gateways get.
 
-use crate::discovery::Mode;
-use crate::ledger::{Effect, Millis};
+use crate::discovery::RegistryMode;
+use crate::event_log::{Millis, Semantics};
 use crate::meter::MeterSettings;
 use serde_json::{json, Value};
 
@@ -11,7 +11,7 @@
     /// Its name.
     pub name: &'static str,
     /// How often a request may take effect.
-    pub effect: Effect,
+    pub semantics: Semantics,
     /// How long a client waits at the most.
     pub deadline: Millis,
 }
@@ -35,9 +35,9 @@
 /// Figures of the ceiling: units a second, the store's size, and the slack.
 pub const CEILING_RATE: f64 = 12.0;
 /// The ceiling's store.
-pub const CEILING_STORE: f64 = 30.0;
+pub const CEILING_DEPTH: f64 = 30.0;
 /// How far it may be overdrawn.
-pub const CEILING_SLACK: f64 = 3.0;
+pub const CEILING_TOLERANCE: f64 = 3.0;
 
 impl Plan {
     /// Its name.
@@ -64,7 +64,7 @@
             Plan::Wide => (2000.0, 0, (0.0, 0.0, 0.0)),
             Plan::Quota => (quota.burst, 0, (0.0, 0.0, 0.0)),
             Plan::Capped => (0.0, 6, (0.0, 0.0, 0.0)),
-            Plan::Ceiling => (2000.0, 0, (CEILING_RATE, CEILING_STORE, CEILING_SLACK)),
+            Plan::Ceiling => (2000.0, 0, (CEILING_RATE, CEILING_DEPTH, CEILING_TOLERANCE)),
         };
         let rate = self.rate(quota);
         json!({"name": self.name(), "unitsPerS": rate, "storeSize": store, "concurrency": open, "price": 1.0,
@@ -83,9 +83,9 @@
 }
 
 /// Customers of each plan.
-pub const CUSTOMERS: u64 = 4;
+pub const CUSTOMERS_PER_PLAN: u64 = 4;
 /// The part of the requests that falls on all plans alike; the rest is of [`Plan::Wide`].
-pub const LIMITED_SHARE: f64 = 0.4;
+pub const ALL_PLANS_SHARE: f64 = 0.4;
 
 /// The parameters of one site.
 #[derive(Debug, Clone)]
@@ -95,19 +95,19 @@
     /// Servers at the start.
     pub servers: usize,
     /// How long the load lasts.
-    pub span: Millis,
+    pub load_duration: Millis,
     /// Who answers calls for the list.
-    pub mode: Mode,
+    pub mode: RegistryMode,
     /// Requests a second at each gateway.
     pub rate: f64,
     /// The classes.
     pub classes: Vec<Class>,
     /// How long servers drop repeats of a keyed request.
-    pub window: Millis,
+    pub dedup_window: Millis,
     /// Sends to a draining server must stop within this.
     pub drain_grace: Millis,
     /// Descriptors of a gateway.
-    pub descriptors: usize,
+    pub fd_limit: usize,
     /// Whether a second attempt may be out beside the first.
     pub may_duplicate: bool,
     /// Whether attempts may be cancelled.
@@ -117,15 +117,15 @@
     /// It is warm after this.
     pub cold_for: Millis,
     /// It falls when it gets more than this multiple of what it can do ...
-    pub tip_multiple: f64,
+    pub overload_multiple: f64,
     /// ... in this time.
-    pub tip_after: Millis,
+    pub overload_window: Millis,
     /// The meter of use, if there is one; else quotas are held by the counter.
     pub meter: Option<MeterSettings>,
     /// What customers who press against a quota may use.
     pub quota: Quota,
     /// Areas over which servers and gateways are spread.
-    pub areas: usize,
+    pub zones: usize,
 }
 
 impl Site {
@@ -135,24 +135,24 @@
             .classes
             .iter()
             .map(|class| {
-                let semantics = match class.effect {
-                    Effect::Free => "free",
-                    Effect::Keyed => "guarded",
-                    Effect::Once => "single_shot",
+                let semantics = match class.semantics {
+                    Semantics::Idempotent => "free",
+                    Semantics::Keyed => "guarded",
+                    Semantics::AtMostOnce => "single_shot",
                 };
-                json!({"name": class.name, "semantics": semantics, "group": "all", "dedupWindow": self.window,
+                json!({"name": class.name, "semantics": semantics, "group": "all", "dedupWindow": self.dedup_window,
                        "worth": 1.0, "slo": class.deadline / 3.0, "deadline": class.deadline,
                        "lateShare": 0.1, "stream": false})
             })
             .collect();
         json!({
-            "areas": (0..self.areas).map(area_name).collect::<Vec<_>>(), "balancers": self.gateways,
-            "ordinal": ordinal, "zone": ordinal % self.areas, "tick": 4.0,
-            "registryMode": if self.mode == Mode::Pushed { "pushed" } else { "on_request" },
+            "areas": (0..self.zones).map(zone_name).collect::<Vec<_>>(), "balancers": self.gateways,
+            "ordinal": ordinal, "zone": ordinal % self.zones, "tick": 4.0,
+            "registryMode": if self.mode == RegistryMode::Pushed { "pushed" } else { "on_request" },
             "bounds": {"cancel": self.may_cancel, "connIdle": 3000.0, "connectTimeout": 300.0, "maxAttempts": 3,
                        "maxRetryAfter": 400.0, "mayDuplicate": self.may_duplicate, "retryAfter": true},
-            "rules": {"cold": self.cold_for, "coldFrom": self.cold_from, "fall": self.tip_after,
-                      "stopSendingWithin": self.drain_grace, "tipMultiple": self.tip_multiple},
+            "rules": {"cold": self.cold_for, "coldFrom": self.cold_from, "fall": self.overload_window,
+                      "stopSendingWithin": self.drain_grace, "tipMultiple": self.overload_multiple},
             "familyInfo": {"mostUnits": 1, "usePeriod": self.meter.map_or(0.0, |meter| meter.period),
                            "counter": true, "counterTimeout": 30.0},
             "classes": classes, "plans": PLANS.map(|plan| plan.settings(self.quota)),
@@ -160,8 +160,8 @@
     }
 
     /// Requests a second that a customer of [`Plan::Quota`] offers to all gateways together.
-    pub fn offered_to_each_quota(&self) -> f64 {
-        self.rate * self.gateways as f64 * LIMITED_SHARE / PLANS.len() as f64 / CUSTOMERS as f64
+    pub fn offered_per_quota_customer(&self) -> f64 {
+        self.rate * self.gateways as f64 * ALL_PLANS_SHARE / PLANS.len() as f64 / CUSTOMERS_PER_PLAN as f64
     }
 
     /// Requests that a warm server handles in a second: the offered load fills part of the fleet.
@@ -177,6 +177,6 @@
 }
 
 /// The name of an area, as lists and settings have it.
-pub fn area_name(area: usize) -> String {
-    char::from(b'a' + area as u8).to_string()
+pub fn zone_name(zone: usize) -> String {
+    char::from(b'a' + zone as u8).to_string()
 }
--- a/fault-soak/tests/oracle.rs
+++ b/fault-soak/tests/oracle.rs
@@ -1,7 +1,7 @@
 //! The oracle fires: for each rule, records that break it and the same ones that keep it.
 
+use fault_soak::event_log::*;
 use fault_soak::invariants::{check, Rule};
-use fault_soak::ledger::*;
 use fault_soak::meter::MeterSettings;
 use fault_soak::scenario::Scenario;
 use fault_soak::site::{Quota, Site};
@@ -10,57 +10,58 @@
 
 fn site() -> Site {
     let mut site = Scenario::draw(1, 2, 6000.0).site;
-    (site.drain_grace, site.window) = (1000.0, 2000.0);
-    (site.cold_from, site.cold_for, site.tip_multiple, site.tip_after) = (0.2, 10_000.0, 2.0, 1000.0);
+    (site.drain_grace, site.dedup_window) = (1000.0, 2000.0);
+    (site.cold_from, site.cold_for, site.overload_multiple, site.overload_window) =
+        (0.2, 10_000.0, 2.0, 1000.0);
     site
 }
 
-fn request(effect: Effect) -> RequestRecord {
+fn request(semantics: Semantics) -> RequestRecord {
     RequestRecord {
         id: ID,
         gateway: 0,
-        life: 0,
+        incarnation: 0,
         customer: 1,
         plan: 0,
-        effect,
-        carrier: Carrier::New,
+        semantics,
+        connection_use: ConnectionUse::New,
         port: 0,
-        copied: false,
+        sent_twice: false,
         sent_at: 1000.0,
-        patience: 1000.0,
-        turn_at: 0.0,
+        client_timeout: 1000.0,
+        previous_response_at: 0.0,
         left_at: None,
-        ending: Some((Ending::Answer { status: 200, genuine: true }, 1100.0)),
+        outcome: Some((Outcome::Response { status: 200, body_matches: true }, 1100.0)),
     }
 }
 
-fn attempt(begun_at: Millis) -> AttemptRecord {
+fn attempt(first_byte_at: Millis) -> AttemptRecord {
     AttemptRecord {
         request: Some(ID),
         server: "s-1".into(),
-        begun_at,
-        whole_at: Some(begun_at),
-        told: Some(500.0),
+        first_byte_at,
+        received_at: Some(first_byte_at),
+        deadline: Some(500.0),
         keyed: true,
         ran: true,
-        over_at: Some(begun_at + 50.0),
-        treatment: "answer",
+        finished_at: Some(first_byte_at + 50.0),
+        handling: "answer",
     }
 }
 
 fn records(request: RequestRecord, attempts: Vec<AttemptRecord>) -> Records {
-    let life = Life {
-        started: 0.0,
+    let incarnation = Incarnation {
+        started_at: 0.0,
         log_unread: false,
-        ready: Some(20.0),
-        terminated: None,
-        killed: Some(9000.0),
-        ended: None,
+        ready_at: Some(20.0),
+        term_sent_at: None,
+        kill_sent_at: Some(9000.0),
+        exited: None,
     };
     Records {
         requests: [(ID, request)].into(),
         attempts,
-        lives: vec![vec![life.clone()], vec![life]],
+        incarnations: vec![vec![incarnation.clone()], vec![incarnation]],
         ..Records::default()
     }
 }
@@ -71,39 +72,40 @@
 
 #[test]
 fn a_usual_request_breaks_nothing() {
-    for effect in [Effect::Free, Effect::Keyed, Effect::Once] {
-        assert_eq!(broken(&records(request(effect), vec![attempt(1010.0)])), []);
+    for semantics in [Semantics::Idempotent, Semantics::Keyed, Semantics::AtMostOnce] {
+        assert_eq!(broken(&records(request(semantics), vec![attempt(1010.0)])), []);
     }
 }
 
 #[test]
 fn every_request_is_owed_its_answer_in_time() {
     let endings = [
-        (Ending::Silence, 5000.0),
-        (Ending::Closed { reset: false }, 1300.0),
-        (Ending::Closed { reset: true }, 1300.0),
-        (Ending::Answer { status: 504, genuine: false }, 2700.0),
+        (Outcome::NoResponse, 5000.0),
+        (Outcome::Closed { reset: false }, 1300.0),
+        (Outcome::Closed { reset: true }, 1300.0),
+        (Outcome::Response { status: 504, body_matches: false }, 2700.0),
     ];
-    for ending in endings {
-        let mut lost = request(Effect::Free);
-        lost.ending = Some(ending.clone());
-        assert_eq!(broken(&records(lost.clone(), vec![])), [Rule::Lost], "{ending:?}");
+    for outcome in endings {
+        let mut lost = request(Semantics::Idempotent);
+        lost.outcome = Some(outcome.clone());
+        assert_eq!(broken(&records(lost.clone(), vec![])), [Rule::Lost], "{outcome:?}");
         lost.left_at = Some(1050.0);
         assert_eq!(broken(&records(lost, vec![])), [], "its client left");
     }
-    let mut crossed = request(Effect::Free);
-    (crossed.carrier, crossed.ending) = (Carrier::Reused, Some((Ending::Closed { reset: true }, 1300.0)));
+    let mut crossed = request(Semantics::Idempotent);
+    (crossed.connection_use, crossed.outcome) =
+        (ConnectionUse::Reused, Some((Outcome::Closed { reset: true }, 1300.0)));
     assert_eq!(broken(&records(crossed.clone(), vec![])), [], "its connection ended before it was read");
     assert_eq!(broken(&records(crossed, vec![attempt(1010.0)])), [Rule::Lost], "it was read");
 }
 
 #[test]
 fn answers_say_what_happened() {
-    let mut foreign = request(Effect::Free);
-    foreign.ending = Some((Ending::Answer { status: 200, genuine: false }, 1100.0));
+    let mut foreign = request(Semantics::Idempotent);
+    foreign.outcome = Some((Outcome::Response { status: 200, body_matches: false }, 1100.0));
     assert_eq!(broken(&records(foreign, vec![attempt(1010.0)])), [Rule::Foreign]);
-    let mut refused = request(Effect::Free);
-    refused.ending = Some((Ending::Answer { status: 429, genuine: false }, 1100.0));
+    let mut refused = request(Semantics::Idempotent);
+    refused.outcome = Some((Outcome::Response { status: 429, body_matches: false }, 1100.0));
     assert_eq!(broken(&records(refused.clone(), vec![attempt(1010.0)])), [Rule::Refused]);
     let turned_away = AttemptRecord { ran: false, ..attempt(1010.0) };
     assert_eq!(broken(&records(refused, vec![turned_away])), []);
@@ -112,33 +114,33 @@
 #[test]
 fn no_effect_happens_too_often() {
     let twice = vec![attempt(1010.0), attempt(1500.0)];
-    assert_eq!(broken(&records(request(Effect::Once), twice.clone())), [Rule::Duplicate]);
-    assert_eq!(broken(&records(request(Effect::Keyed), twice)), []);
-    let late = vec![attempt(1010.0), AttemptRecord { told: None, ..attempt(3500.0) }];
-    assert_eq!(broken(&records(request(Effect::Keyed), late)), [Rule::Duplicate]);
+    assert_eq!(broken(&records(request(Semantics::AtMostOnce), twice.clone())), [Rule::Duplicate]);
+    assert_eq!(broken(&records(request(Semantics::Keyed), twice)), []);
+    let late = vec![attempt(1010.0), AttemptRecord { deadline: None, ..attempt(3500.0) }];
+    assert_eq!(broken(&records(request(Semantics::Keyed), late)), [Rule::Duplicate]);
 }
 
 #[test]
 fn attempts_begin_only_while_they_may() {
-    let mut left = request(Effect::Free);
+    let mut left = request(Semantics::Idempotent);
     left.left_at = Some(1100.0);
     assert_eq!(broken(&records(left.clone(), vec![attempt(1150.0)])), []);
     assert_eq!(broken(&records(left, vec![attempt(1300.0)])), [Rule::Leave]);
-    let generous = AttemptRecord { told: Some(1500.0), ..attempt(1010.0) };
-    assert_eq!(broken(&records(request(Effect::Free), vec![generous])), [Rule::Deadline]);
-    let mut drained = records(request(Effect::Free), vec![attempt(1600.0)]);
-    drained.told = vec![Told { gateway: 0, server: "s-1".into(), at: 700.0 }];
+    let generous = AttemptRecord { deadline: Some(1500.0), ..attempt(1010.0) };
+    assert_eq!(broken(&records(request(Semantics::Idempotent), vec![generous])), [Rule::Deadline]);
+    let mut drained = records(request(Semantics::Idempotent), vec![attempt(1600.0)]);
+    drained.removal_notices = vec![RemovalNotice { gateway: 0, server: "s-1".into(), notified_at: 700.0 }];
     assert_eq!(broken(&drained), []);
-    drained.told[0].at = 100.0;
+    drained.removal_notices[0].notified_at = 100.0;
     assert_eq!(broken(&drained), [Rule::Drain]);
 }
 
 #[test]
 fn what_is_sent_carries_its_id_and_its_key() {
     let nameless = AttemptRecord { request: None, ..attempt(1010.0) };
-    assert_eq!(broken(&records(request(Effect::Free), vec![nameless])), [Rule::Malformed]);
+    assert_eq!(broken(&records(request(Semantics::Idempotent), vec![nameless])), [Rule::Malformed]);
     let keyless = AttemptRecord { keyed: false, ..attempt(1010.0) };
-    assert_eq!(broken(&records(request(Effect::Keyed), vec![keyless])), [Rule::Malformed]);
+    assert_eq!(broken(&records(request(Semantics::Keyed), vec![keyless])), [Rule::Malformed]);
 }
 
 #[test]
@@ -147,9 +149,9 @@
     let load = |count: usize, told_at: Millis| {
         let attempts =
             (0..count).map(|n| AttemptRecord { ran: false, ..attempt(1010.0 + n as f64) }).collect();
-        let mut records = records(request(Effect::Free), attempts);
+        let mut records = records(request(Semantics::Idempotent), attempts);
         records.cold_starts = vec![ColdStart { server: "s-1".into(), at: 1000.0, capacity: 50.0 }];
-        records.starts_told = vec![StartTold { gateway: 0, server: "s-1".into(), at: told_at }];
+        records.start_notices = vec![StartNotice { gateway: 0, server: "s-1".into(), notified_at: told_at }];
         broken(&records)
     };
     assert_eq!(load(36, 1000.0), []);
@@ -158,9 +160,9 @@
     assert_eq!(load(45, 1019.5), [Rule::SlowStart]);
     assert_eq!(load(45, 1029.5), [], "more than a third came from a gateway that had not been told");
     let tries = |count: u64| {
-        let mut all = records(request(Effect::Free), vec![]);
+        let mut all = records(request(Semantics::Idempotent), vec![]);
         for id in 1..=count {
-            let record = RequestRecord { id, plan: 3, sent_at: 1000.0, ..request(Effect::Free) };
+            let record = RequestRecord { id, plan: 3, sent_at: 1000.0, ..request(Semantics::Idempotent) };
             all.requests.insert(id, record);
             all.attempts.push(AttemptRecord { request: Some(id), ..attempt(1010.0) });
         }
@@ -172,18 +174,23 @@
 
 #[test]
 fn processes_start_in_time_and_end_only_when_told() {
-    let with = |change: fn(&mut Life)| {
-        let mut records = records(request(Effect::Free), vec![]);
-        change(&mut records.lives[1][0]);
+    let with = |change: fn(&mut Incarnation)| {
+        let mut records = records(request(Semantics::Idempotent), vec![]);
+        change(&mut records.incarnations[1][0]);
         broken(&records)
     };
-    assert_eq!(with(|life| (life.killed, life.ended) = (None, Some((3000.0, false)))), [Rule::Process]);
-    assert_eq!(with(|life| life.ready = Some(12_000.0)), [Rule::Process]);
-    let in_order =
-        |life: &mut Life| (life.killed, life.terminated, life.ended) = (None, Some(1.0), Some((3.0, true)));
+    assert_eq!(
+        with(|incarnation| (incarnation.kill_sent_at, incarnation.exited) = (None, Some((3000.0, false)))),
+        [Rule::Process]
+    );
+    assert_eq!(with(|incarnation| incarnation.ready_at = Some(12_000.0)), [Rule::Process]);
+    let in_order = |incarnation: &mut Incarnation| {
+        (incarnation.kill_sent_at, incarnation.term_sent_at, incarnation.exited) =
+            (None, Some(1.0), Some((3.0, true)))
+    };
     assert_eq!(with(in_order), []);
-    let stuck = |life: &mut Life| {
-        (life.log_unread, life.terminated, life.killed, life.ended) =
+    let stuck = |incarnation: &mut Incarnation| {
+        (incarnation.log_unread, incarnation.term_sent_at, incarnation.kill_sent_at, incarnation.exited) =
             (true, Some(1.0), Some(7000.0), Some((7001.0, false)));
     };
     assert_eq!(with(stuck), [Rule::Process]);
@@ -195,12 +202,17 @@
     site.meter = Some(MeterSettings { period: 500.0, delay: 200.0 });
     site.quota = Quota { rate: 10.0, burst: 20.0 };
     let broken_by = |sends: u64, from: Millis, gap: Millis| {
-        let mut all = records(request(Effect::Free), vec![]);
+        let mut all = records(request(Semantics::Idempotent), vec![]);
         for id in 1..=sends {
             let at = from + gap * id as f64;
-            let answer = Some((Ending::Answer { status: 200, genuine: true }, at + 50.0));
-            let record =
-                RequestRecord { id, plan: 1, sent_at: at - 5.0, ending: answer, ..request(Effect::Free) };
+            let answer = Some((Outcome::Response { status: 200, body_matches: true }, at + 50.0));
+            let record = RequestRecord {
+                id,
+                plan: 1,
+                sent_at: at - 5.0,
+                outcome: answer,
+                ..request(Semantics::Idempotent)
+            };
             all.requests.insert(id, record);
             all.attempts.push(AttemptRecord { request: Some(id), ..attempt(at) });
         }
@@ -216,10 +228,16 @@
 
 #[test]
 fn bad_clients_are_sent_away_in_time() {
-    let mut late = records(request(Effect::Free), vec![]);
-    let client = BadClient { gateway: 0, life: 0, what: "noise", began: 100.0, ended: Some(3500.0) };
+    let mut late = records(request(Semantics::Idempotent), vec![]);
+    let client = BadClient {
+        gateway: 0,
+        incarnation: 0,
+        action: "noise",
+        connected_at: 100.0,
+        ended_at: Some(3500.0),
+    };
     late.bad_clients.push(client);
     assert_eq!(broken(&late), [Rule::BadClient]);
-    late.bad_clients[0].ended = Some(2600.0);
+    late.bad_clients[0].ended_at = Some(2600.0);
     assert_eq!(broken(&late), []);
 }
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,6 +1,6 @@
 //! The randomized fault soak at its shortest: a few seeds with few processes. More are played by its command.
 
-use fault_soak::run::{play, Setup};
+use fault_soak::run::{run_scenario, RunPaths};
 use fault_soak::scenario::Scenario;
 use fault_soak::shim;
 use std::path::PathBuf;
@@ -21,10 +21,10 @@
     std::fs::create_dir_all(&folder).expect("a folder");
     let library = shim::build(&folder).expect("the library is built");
     let program = PathBuf::from(env!("CARGO_BIN_EXE_brassport"));
-    let setup = Setup { program, shim: Some(library), folder };
-    let report = runtime.block_on(play(scenario, &setup)).expect("the run's files are written");
+    let paths = RunPaths { program, shim: Some(library), folder };
+    let report = runtime.block_on(run_scenario(scenario, &paths)).expect("the run's files are written");
     let broken: Vec<String> = report.violations.iter().map(ToString::to_string).collect();
-    assert!(broken.is_empty(), "seed {seed}: {:#?}\n{:#?}", report.records.notes, broken);
+    assert!(broken.is_empty(), "seed {seed}: {:#?}\n{:#?}", report.records.timeline, broken);
     assert!(report.records.requests.len() > 200, "there was a load");
 }
 
