--- a/fault-soak/src/client.rs
+++ b/fault-soak/src/client.rs
@@ -275,7 +275,7 @@
         };
         if behaviour == Behaviour::HalfClose {
             let left_at = self.event_log.now();
-            self.event_log.request(drafts[0].id, |request| request.left_at = Some(left_at));
+            self.event_log.update_request(drafts[0].id, |request| request.left_at = Some(left_at));
             let _ = reader.stream.shutdown().await;
             // Nothing more can be sent on it.
             let _ = timeout(Duration::from_millis(500), reader.read_message()).await;
@@ -295,7 +295,7 @@
             let left_at = self.event_log.now();
             drop(reader);
             for draft in &drafts {
-                self.event_log.request(draft.id, |request| request.left_at = Some(left_at));
+                self.event_log.update_request(draft.id, |request| request.left_at = Some(left_at));
             }
             return;
         }
@@ -341,7 +341,8 @@
         }
         let mut previous_response_at = 0.0;
         for (nth, draft) in drafts.iter().enumerate() {
-            self.event_log.request(draft.id, |request| request.previous_response_at = previous_response_at);
+            self.event_log
+                .update_request(draft.id, |request| request.previous_response_at = previous_response_at);
             let wait = Duration::from_secs_f64((draft.record.client_timeout + LONGER) / 1000.0);
             let outcome = match timeout(wait, reader.read_message()).await {
                 Ok(Ok(answer)) => {
@@ -349,7 +350,7 @@
                     let closes = answer.header("connection") == Some("close");
                     let now = self.event_log.now();
                     let outcome = Outcome::Response { status: answer.status(), body_matches };
-                    self.event_log.request(draft.id, |request| request.outcome = Some((outcome, now)));
+                    self.event_log.update_request(draft.id, |request| request.outcome = Some((outcome, now)));
                     previous_response_at = now;
                     if closes {
                         self.rest_was_announced(&drafts[nth + 1..]);
@@ -362,7 +363,8 @@
             };
             let now = self.event_log.now();
             for rest in &drafts[nth..] {
-                self.event_log.request(rest.id, |request| request.outcome = Some((outcome.clone(), now)));
+                self.event_log
+                    .update_request(rest.id, |request| request.outcome = Some((outcome.clone(), now)));
             }
             return;
         }
@@ -377,7 +379,7 @@
         let now = self.event_log.now();
         for draft in rest {
             let outcome = Outcome::Closed { reset: false };
-            self.event_log.request(draft.id, |request| request.outcome = Some((outcome, now)));
+            self.event_log.update_request(draft.id, |request| request.outcome = Some((outcome, now)));
         }
     }
 
--- a/fault-soak/src/event_log.rs
+++ b/fault-soak/src/event_log.rs
@@ -1,91 +1,92 @@
 //! The merged event log of one run: every request as its client saw it, every attempt as its server saw it,
-//! every change of the server list as each discovery agent had it, and every life of every gateway.
+//! the notices of the server list that each gateway has received, and every incarnation of each gateway process.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
 use std::time::Instant;
 
-/// Milliseconds since the run began, on the rig's monotonic clock.
+/// Milliseconds; as a point in time, since the start of the run on the monotonic clock.
 pub type Millis = f64;
-/// Names one request; it stands in `X-Request-Id` as 16 hexadecimal digits.
+/// Identifies a request; sent in `X-Request-Id` as 16 hexadecimal digits.
 pub type RequestId = u64;
 
-/// How often the effect of a request may happen.
+/// How often a request may take effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Semantics {
     /// Any number of times.
     Idempotent,
-    /// Servers drop repeats that begin within the class's window.
+    /// Once: servers drop repeats with the same key that begin within the class's deduplication window.
     Keyed,
-    /// Once.
+    /// At most once.
     AtMostOnce,
 }
 
-/// On what kind of connection a request went out.
+/// How a request used its connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConnectionUse {
-    /// The first request on its connection.
+    /// It was the first on a new connection.
     New,
-    /// One connection had answers before.
+    /// The connection had carried other requests, all of which had been answered.
     Reused,
-    /// It was written right behind another request, before that one's answer.
+    /// It was written before the response to the previous request had come.
     Pipelined,
 }
 
 /// How a request ended for its client.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Outcome {
-    /// A whole answer.
+    /// A complete response.
     Response {
-        /// Its status.
+        /// The status code.
         status: u16,
-        /// Whether a 200 carries what a server made for this request.
+        /// Whether the body is one that a server made for this request.
         body_matches: bool,
     },
-    /// The connection ended without a whole answer.
+    /// The connection ended before a complete response.
     Closed {
-        /// By a reset.
+        /// Whether it was reset.
         reset: bool,
     },
-    /// Nothing came until the client stopped waiting.
+    /// No complete response until the client stopped waiting.
     NoResponse,
 }
 
 /// One request as its client saw it.
 #[derive(Debug, Clone)]
 pub struct RequestRecord {
-    /// Its name.
+    /// Its id.
     pub id: RequestId,
-    /// The gateway it went to.
+    /// The index of the gateway that it was sent to.
     pub gateway: usize,
-    /// Which life of that gateway.
+    /// The incarnation of that gateway.
     pub incarnation: usize,
-    /// Its customer.
+    /// The customer.
     pub customer: u64,
-    /// The index of the customer's plan.
+    /// The index of the customer's plan in [`PLANS`](crate::site::PLANS).
     pub plan: usize,
     /// How often it may take effect.
     pub semantics: Semantics,
-    /// On what kind of connection it went out.
+    /// How it used its connection.
     pub connection_use: ConnectionUse,
-    /// The client's port, by which the gateway's trace names the connection.
+    /// The client's port, by which the gateway's trace identifies the connection.
     pub port: u16,
-    /// Whether its client sent the same bytes on a second connection: the two are judged apart by the gateway.
+    /// Whether the client sent the same bytes on a second connection as well. The gateway treats the two as
+    /// separate requests.
     pub sent_twice: bool,
-    /// When its last byte was handed to the system.
+    /// When its last byte was passed to the operating system.
     pub sent_at: Millis,
-    /// How long its client said it would wait.
+    /// How long the client waits for the response, as sent in `X-Deadline`.
     pub client_timeout: Millis,
-    /// When the answer before it on its connection had come, if it was pipelined.
+    /// For a pipelined request, when the response to the previous request on the connection had come; else 0.
     pub previous_response_at: Millis,
-    /// When its client closed the connection, if it left early.
+    /// When the client closed the connection, if it left before the response.
     pub left_at: Option<Millis>,
     /// How it ended, and when.
     pub outcome: Option<(Outcome, Millis)>,
 }
 
 impl RequestRecord {
-    /// When its client gives up.
+    /// When the time that the client allows for the response is over.
     pub fn expires_at(&self) -> Millis {
         self.sent_at + self.client_timeout
     }
@@ -94,124 +95,124 @@
 /// One attempt as its server saw it.
 #[derive(Debug, Clone)]
 pub struct AttemptRecord {
-    /// The request it belongs to; `None` where it carried no id of this run.
+    /// The request that it belongs to; `None` if it carried no valid request id.
     pub request: Option<RequestId>,
-    /// The server's name on the list.
+    /// The server's uid on the list.
     pub server: String,
     /// When its first byte was read.
     pub first_byte_at: Millis,
     /// When its last byte was read.
     pub received_at: Option<Millis>,
-    /// The time that it told the server, from `X-Deadline`.
+    /// The remaining time that it gave the server in `X-Deadline`.
     pub deadline: Option<Millis>,
-    /// Whether it carried a key.
+    /// Whether it carried an idempotency key.
     pub keyed: bool,
     /// Whether the server ran it.
     pub ran: bool,
-    /// When its connection ended or its answer was written.
+    /// When its response was written or its connection ended.
     pub finished_at: Option<Millis>,
-    /// What the server did with it, for the log.
+    /// How the server handled it; appears in reports only.
     pub handling: &'static str,
 }
 
-/// Something that the rig did.
+/// An action of the rig, such as the injection of a fault.
 #[derive(Debug, Clone)]
 pub struct TimelineEntry {
-    /// When.
+    /// When it happened.
     pub at: Millis,
-    /// What.
+    /// Its description.
     pub text: String,
 }
 
-/// A server that drains or went, as the agent of one gateway had it.
+/// A gateway was notified that a server drains or has been removed.
 #[derive(Debug, Clone)]
 pub struct RemovalNotice {
     /// The gateway.
     pub gateway: usize,
-    /// The server's name.
+    /// The server's uid.
     pub server: String,
     /// From when on the gateway counts as notified.
     pub notified_at: Millis,
 }
 
-/// The start of a server as the list told it.
+/// A cold start of a server that is announced on the server list.
 #[derive(Debug, Clone)]
 pub struct ColdStart {
-    /// The server's name.
+    /// The server's uid.
     pub server: String,
     /// When it started.
     pub at: Millis,
-    /// Requests that it handles in a second once it is warm.
+    /// Requests per second that the server handles once it is warm.
     pub capacity: f64,
 }
 
-/// The start of a server, as a gateway was told of it.
+/// A gateway was notified of the start of a server.
 #[derive(Debug, Clone)]
 pub struct StartNotice {
     /// The gateway.
     pub gateway: usize,
-    /// The server's name.
+    /// The server's uid.
     pub server: String,
     /// From when on the gateway counts as notified.
     pub notified_at: Millis,
 }
 
-/// One life of a gateway process.
+/// One process of a gateway, from its start to its exit.
 #[derive(Debug, Clone)]
 pub struct Incarnation {
-    /// When it was started.
+    /// When the process was started.
     pub started_at: Millis,
-    /// Whether nobody reads its log.
+    /// Whether its log goes to a pipe that is never read.
     pub log_unread: bool,
     /// When it first answered `GET /healthz` with 200.
     pub ready_at: Option<Millis>,
-    /// When it was told to end.
+    /// When it was sent SIGTERM.
     pub term_sent_at: Option<Millis>,
-    /// When it was killed.
+    /// When it was sent SIGKILL.
     pub kill_sent_at: Option<Millis>,
-    /// When it ended, and whether with success.
+    /// When it exited, and whether with success.
     pub exited: Option<(Millis, bool)>,
 }
 
-/// A bad client's connection: what it did, and how long until it got an error or a close.
+/// A connection of a client that never sends a valid request.
 #[derive(Debug, Clone)]
 pub struct BadClient {
-    /// The gateway and its life.
+    /// The gateway.
     pub gateway: usize,
-    /// Which life of it.
+    /// The incarnation of that gateway.
     pub incarnation: usize,
-    /// What it did.
+    /// What the client sent.
     pub action: &'static str,
     /// When it connected.
     pub connected_at: Millis,
-    /// When it got an error or a close.
+    /// When the gateway sent an error or closed the connection.
     pub ended_at: Option<Millis>,
 }
 
 /// All records of one run.
 #[derive(Debug, Default)]
 pub struct Records {
-    /// By name.
+    /// Requests by id.
     pub requests: HashMap<RequestId, RequestRecord>,
-    /// In the order in which they began.
+    /// Attempts in the order in which they began.
     pub attempts: Vec<AttemptRecord>,
-    /// What the rig did, in order.
+    /// What the rig did, in order of time.
     pub timeline: Vec<TimelineEntry>,
-    /// Drains and removals, as told.
+    /// Drains and removals of servers, as the gateways were notified of them.
     pub removal_notices: Vec<RemovalNotice>,
-    /// Starts of servers.
+    /// Cold starts of servers.
     pub cold_starts: Vec<ColdStart>,
-    /// The same, as gateways were told of them.
+    /// Starts of servers, as the gateways were notified of them.
     pub start_notices: Vec<StartNotice>,
-    /// Lives by gateway.
+    /// Incarnations by gateway.
     pub incarnations: Vec<Vec<Incarnation>>,
-    /// Bad clients.
+    /// Connections of bad clients.
     pub bad_clients: Vec<BadClient>,
-    /// The longest time by which the rig's own timer was late.
+    /// The longest delay of the rig's own timer, which shows how overloaded the machine was.
     pub rig_timer_delay: Millis,
 }
 
-/// The log, shared by all stand-ins.
+/// The event log, shared by the stand-ins.
 #[derive(Debug)]
 pub struct EventLog {
     start: Instant,
@@ -219,29 +220,29 @@
 }
 
 impl EventLog {
-    /// An empty log for so many gateways.
+    /// Creates an empty log for the given number of gateways.
     pub fn new(gateways: usize) -> EventLog {
         let records = Records { incarnations: vec![Vec::new(); gateways], ..Records::default() };
         EventLog { start: Instant::now(), records: Mutex::new(records) }
     }
 
-    /// The time on the run's clock.
+    /// The time since the start of the run.
     pub fn now(&self) -> Millis {
         self.start.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// Changes or reads the records.
-    pub fn with<T>(&self, work: impl FnOnce(&mut Records) -> T) -> T {
-        work(&mut self.records.lock().expect("lock not poisoned"))
+    /// Reads or changes the records under the lock.
+    pub fn with<T>(&self, access: impl FnOnce(&mut Records) -> T) -> T {
+        access(&mut self.records.lock().expect("lock not poisoned"))
     }
 
-    /// Notes what the rig did.
+    /// Records an action of the rig.
     pub fn add_to_timeline(&self, text: String) {
         let at = self.now();
         self.with(|records| records.timeline.push(TimelineEntry { at, text }));
     }
 
-    /// Enters an attempt that has begun; returns its place for [`EventLog::attempt`].
+    /// Records a new attempt and returns its index for [`EventLog::update_attempt`].
     pub fn begin_attempt(&self, record: AttemptRecord) -> usize {
         self.with(|records| {
             records.attempts.push(record);
@@ -249,13 +250,13 @@
         })
     }
 
-    /// Changes an attempt.
-    pub fn attempt(&self, place: usize, change: impl FnOnce(&mut AttemptRecord)) {
-        self.with(|records| change(&mut records.attempts[place]));
+    /// Changes the record of an attempt.
+    pub fn update_attempt(&self, index: usize, change: impl FnOnce(&mut AttemptRecord)) {
+        self.with(|records| change(&mut records.attempts[index]));
     }
 
-    /// Changes a request.
-    pub fn request(&self, id: RequestId, change: impl FnOnce(&mut RequestRecord)) {
+    /// Changes the record of a request, if there is one with this id.
+    pub fn update_request(&self, id: RequestId, change: impl FnOnce(&mut RequestRecord)) {
         self.with(|records| records.requests.get_mut(&id).map(change));
     }
 }
--- a/fault-soak/src/lib.rs
+++ b/fault-soak/src/lib.rs
@@ -1,8 +1,9 @@
 //! A randomized fault soak of the gateway.
 //!
-//! Real gateway processes run on loopback before stand-ins for everything they speak to: servers, discovery,
-//! the counter, clients, and a fault proxy on each line. A scenario drawn from a seed lets two or three
-//! troubles overlap; the rules of the service, checked on the merged event log, are the oracle.
+//! Real gateway processes run on loopback against stand-ins for all their peers: servers, discovery, the shared
+//! counter and clients, with a fault proxy on the connections to servers and to the counter. A scenario drawn from
+//! a seed injects faults, of which two or three overlap at a time. After the run the rules of the service are
+//! checked on the merged event log, which makes them the test's oracle.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/fault-soak/src/server.rs
+++ b/fault-soak/src/server.rs
@@ -215,7 +215,7 @@
             });
             let on = self.one(&mut reader, place).await;
             let now = self.event_log.now();
-            self.event_log.attempt(place, |attempt| {
+            self.event_log.update_attempt(place, |attempt| {
                 attempt.finished_at.get_or_insert(now);
             });
             if !matches!(on, Ok(true)) {
@@ -231,27 +231,27 @@
         let request = message.header("x-request-id").and_then(|id| RequestId::from_str_radix(id, 16).ok());
         let deadline = message.header("x-deadline").and_then(span);
         let keyed = message.header("idempotency-key").is_some();
-        self.event_log.attempt(place, |attempt| {
+        self.event_log.update_attempt(place, |attempt| {
             attempt.request = request;
             attempt.received_at = Some(received_at);
             attempt.deadline = deadline;
             attempt.keyed = keyed;
         });
         let Some(id) = request else {
-            self.event_log.attempt(place, |attempt| attempt.handling = "no id: 404");
+            self.event_log.update_attempt(place, |attempt| attempt.handling = "no id: 404");
             return Ok(reader.stream.write_all(&answer("404 Not Found", "", "")).await.is_ok());
         };
         let behaviour = *self.behaviour.lock().expect("lock not poisoned");
         if self.rng.rand_float() < behaviour.reject {
-            self.event_log.attempt(place, |attempt| attempt.handling = "turned away");
+            self.event_log.update_attempt(place, |attempt| attempt.handling = "turned away");
             let bytes = answer("503 Service Unavailable", "X-Not-Run: 1\r\n", "");
             return Ok(reader.stream.write_all(&bytes).await.is_ok());
         }
-        self.event_log.attempt(place, |attempt| attempt.ran = true);
+        self.event_log.update_attempt(place, |attempt| attempt.ran = true);
         let work = WORK_MS * behaviour.work_factor * (0.3 + 1.4 * self.rng.rand_float());
         let used = self.usage.as_ref().map_or_else(String::new, |usage| usage.count(&self.event_log, id));
         let (name, treatment) = self.treatment(&behaviour, id, &used);
-        self.event_log.attempt(place, |attempt| attempt.handling = name);
+        self.event_log.update_attempt(place, |attempt| attempt.handling = name);
         // Whoever gives the attempt up closes the connection meanwhile.
         tokio::select! {
             () = sleep(Duration::from_secs_f64(work / 1000.0)) => {}
@@ -334,7 +334,7 @@
         };
         let written = reader.stream.write_all(&bytes).await.is_ok();
         let now = self.event_log.now();
-        self.event_log.attempt(place, |attempt| attempt.finished_at = Some(now));
+        self.event_log.update_attempt(place, |attempt| attempt.finished_at = Some(now));
         let behind = Duration::from_secs_f64(BEHIND_ANSWER_MS * self.rng.rand_float() / 1000.0);
         match then {
             Then::KeepAlive => Ok(written),
