--- a/fault-soak/src/invariants.rs
+++ b/fault-soak/src/invariants.rs
@@ -1,4 +1,4 @@
-//! The oracle: the rules of the service, checked on the records of a run after it is over.
+//! The test oracle: checks the rules of the service on the records of a finished run.
 
 use crate::event_log::{
     AttemptRecord, ColdStart, ConnectionUse, Incarnation, Millis, Outcome, Records, RequestId, RequestRecord,
@@ -8,70 +8,72 @@
 use std::collections::HashMap;
 use std::fmt;
 
-/// What the stand-ins may be late by, beyond what the rules allow and twice what the rig's own timer was late.
+/// How late a stand-in may record an event. It is added to what the rules allow, together with twice the longest delay
+/// of the rig's own timer.
 const RIG_SLACK: Millis = 60.0;
-/// The rules' own slack on every limit on sockets.
+/// The rules allow this much more on every time limit that is measured on a socket.
 const SOCKET_SLACK: Millis = 50.0;
-/// An attempt may begin so long after its client left.
+/// An attempt may begin up to this long after its client left.
 const LEAVE_GRACE: Millis = 100.0;
-/// How much more than what the client has left a server may be told.
+/// A deadline sent to a server may exceed the time that the client has left by up to this.
 const DEADLINE_SLACK: Millis = 150.0;
-/// An answer may come so long after its time.
-const ANSWER_GRACE: Millis = 500.0;
-/// A window of repeats is exceeded by a process that is held up for so long.
-const HOLD_SLACK: Millis = 150.0;
-/// An end of a used connection that crosses a request comes within this.
-const CROSSING: Millis = 60.0;
-/// A bad client is owed an error or a close within this.
-const BAD_CLIENT_ENDS: Millis = 3000.0;
-/// A gateway is ready within this.
+/// A response may come up to this long after the client's time-out.
+const RESPONSE_GRACE: Millis = 500.0;
+/// A gateway process that is paused may exceed a deduplication window by up to this.
+const PAUSE_SLACK: Millis = 150.0;
+/// A gateway may close an idle connection while a request is on its way to it. The client sees such a close within
+/// this time.
+const CROSSING_CLOSE: Millis = 60.0;
+/// A bad client must get an error or a close within this.
+const BAD_CLIENT_TIMEOUT: Millis = 3000.0;
+/// A gateway must be ready within this after its start.
 const READY_WITHIN: Millis = 10_000.0;
-/// What SIGKILL finds unanswered is lost if it came later than this after SIGTERM.
-const BEFORE_KILL: Millis = 700.0;
+/// A request that is still open at SIGKILL is excused if it was sent sooner than this after SIGTERM; a later one is lost.
+const EXCUSED_BEFORE_KILL: Millis = 700.0;
 
-/// The rules.
+/// A rule of the service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Rule {
-    /// Each request that was taken gets its final answer in time.
+    /// Each accepted request gets its final response in time.
     Lost,
     /// No request takes effect more often than its class allows.
     Duplicate,
-    /// No answer but what a server made for the request is passed on as served.
+    /// A 200 carries only a response that a server made for this request.
     Foreign,
-    /// A refused request has no effect.
+    /// A request that is answered with 429 or 503 has not been run by a server.
     Refused,
-    /// Nothing new goes to a server that drains or is gone.
+    /// No attempt goes to a server that drains or is gone.
     Drain,
-    /// No attempt begins once its client has left.
+    /// No attempt begins after its client has left.
     Leave,
-    /// No server is told more time than the client has left.
+    /// No deadline sent to a server exceeds the time that the client has left.
     Deadline,
-    /// A cold server is not tipped over.
+    /// A server in its slow start is not overloaded.
     SlowStart,
-    /// A ceiling holds over all gateways.
+    /// A customer's ceiling holds over all gateways together.
     Ceiling,
-    /// A quota holds over all gateways, as far as the meter can have told.
+    /// A customer's quota holds over all gateways together, as far as the meter can have reported its use to them.
     Quota,
-    /// A gateway does not crash, and is ready in time.
+    /// A gateway does not crash, is ready in time, and exits after SIGTERM even if its log is not read.
     Process,
     /// Bad clients get an error or a close in time.
     BadClient,
-    /// A gateway has seen a rule broken, or has panicked.
+    /// A gateway has logged a violation of its own checks or a panic.
     Reported,
-    /// What is sent to servers carries its request's id, and its key where the class wants one.
+    /// An attempt carries the id of its request, and the idempotency key if the class needs one.
     Malformed,
 }
 
-/// A rule that was broken.
+/// A violation of a rule.
 #[derive(Debug, Clone)]
 pub struct Violation {
-    /// Which.
+    /// The rule.
     pub rule: Rule,
-    /// The request, if it is about one.
+    /// The request, if the violation concerns a single one.
     pub request: Option<RequestId>,
-    /// When.
+    /// When it happened; 0 if it was found in a gateway's log.
     pub at: Millis,
-    /// The records that show it.
+    /// What is wrong, with the records that show it.
     pub text: String,
 }
 
@@ -81,7 +83,7 @@
     }
 }
 
-/// Checks all rules.
+/// Checks all rules and returns the violations in order of time.
 pub fn check(site: &Site, records: &Records) -> Vec<Violation> {
     let mut attempts: HashMap<RequestId, Vec<&AttemptRecord>> = HashMap::new();
     for attempt in &records.attempts {
@@ -93,25 +95,25 @@
     let oracle = Oracle { site, slack, records, attempts };
     let mut found = Vec::new();
     for request in records.requests.values() {
-        oracle.answered(request, &mut found);
-        oracle.no_duplicate(request, &mut found);
-        oracle.no_send_after_leave(request, &mut found);
-        oracle.no_longer_deadline(request, &mut found);
+        oracle.check_outcome(request, &mut found);
+        oracle.check_duplicates(request, &mut found);
+        oracle.check_sends_after_leave(request, &mut found);
+        oracle.check_deadlines(request, &mut found);
     }
-    oracle.well_formed(&mut found);
-    oracle.no_send_to_drained(&mut found);
-    oracle.slow_start(&mut found);
-    oracle.ceilings(&mut found);
-    oracle.quotas(&mut found);
-    oracle.processes(&mut found);
-    oracle.bad_clients(&mut found);
+    oracle.check_attempts_well_formed(&mut found);
+    oracle.check_sends_to_drained(&mut found);
+    oracle.check_slow_start(&mut found);
+    oracle.check_ceilings(&mut found);
+    oracle.check_quotas(&mut found);
+    oracle.check_processes(&mut found);
+    oracle.check_bad_clients(&mut found);
     found.sort_by(|one, other| one.at.total_cmp(&other.at));
     found
 }
 
 struct Oracle<'a> {
     site: &'a Site,
-    /// What the stand-ins may be late by.
+    /// How late a stand-in may record an event, with the delay of the rig's timer in this run.
     slack: Millis,
     records: &'a Records,
     attempts: HashMap<RequestId, Vec<&'a AttemptRecord>>,
@@ -130,18 +132,18 @@
         self.records.incarnations.get(gateway)?.get(incarnation)
     }
 
-    /// Whether a kill, before the request ended like that, frees the gateway of the answer.
-    fn freed_by_kill(&self, request: &RequestRecord, ended_at: Millis) -> bool {
+    /// Whether a SIGKILL of the gateway excuses that the request ended without a response.
+    fn excused_by_kill(&self, request: &RequestRecord, ended_at: Millis) -> bool {
         let Some(incarnation) = self.incarnation(request.gateway, request.incarnation) else { return true };
         let Some(killed) = incarnation.kill_sent_at.filter(|killed| *killed <= ended_at) else {
             return false;
         };
-        incarnation
-            .term_sent_at
-            .is_none_or(|terminated| terminated > killed || request.sent_at < terminated + BEFORE_KILL)
+        incarnation.term_sent_at.is_none_or(|terminated| {
+            terminated > killed || request.sent_at < terminated + EXCUSED_BEFORE_KILL
+        })
     }
 
-    fn answered(&self, request: &RequestRecord, found: &mut Vec<Violation>) {
+    fn check_outcome(&self, request: &RequestRecord, found: &mut Vec<Violation>) {
         if request.left_at.is_some() {
             return;
         }
@@ -153,32 +155,33 @@
         match &request.outcome {
             None => {}
             Some((Outcome::Response { status, body_matches }, at)) => {
-                // Answers come in order: one that was pipelined can come no sooner than the one before it.
-                if *at > request.expires_at().max(request.previous_response_at) + ANSWER_GRACE + self.slack {
-                    broken(Rule::Lost, *at, "answered too late");
+                // Responses come in order: that to a pipelined request cannot come before the previous one.
+                if *at > request.expires_at().max(request.previous_response_at) + RESPONSE_GRACE + self.slack
+                {
+                    broken(Rule::Lost, *at, "response too late");
                 }
                 if *status == 200 && !body_matches {
-                    broken(Rule::Foreign, *at, "served what no server made for it");
+                    broken(Rule::Foreign, *at, "the 200 carries a body that no server made for this request");
                 }
                 let refused = matches!(status, 429 | 503) && !request.sent_twice;
                 if refused && attempts.iter().any(|attempt| attempt.ran) {
-                    broken(Rule::Refused, *at, "refused, and it ran");
+                    broken(Rule::Refused, *at, "refused, but a server ran it");
                 }
             }
-            Some((_, at)) if self.freed_by_kill(request, *at) => {}
-            Some((Outcome::NoResponse, at)) => broken(Rule::Lost, *at, "never answered"),
+            Some((_, at)) if self.excused_by_kill(request, *at) => {}
+            Some((Outcome::NoResponse, at)) => broken(Rule::Lost, *at, "no response"),
             Some((Outcome::Closed { reset }, at)) => {
                 let crossing = request.connection_use != ConnectionUse::New
                     && attempts.is_empty()
-                    && (*reset || *at <= request.sent_at + CROSSING + self.slack);
+                    && (*reset || *at <= request.sent_at + CROSSING_CLOSE + self.slack);
                 if !crossing {
-                    broken(Rule::Lost, *at, "closed without an answer");
+                    broken(Rule::Lost, *at, "connection closed without a response");
                 }
             }
         }
     }
 
-    fn no_duplicate(&self, request: &RequestRecord, found: &mut Vec<Violation>) {
+    fn check_duplicates(&self, request: &RequestRecord, found: &mut Vec<Violation>) {
         let attempts = self.attempts(request.id);
         let ran: Vec<&&AttemptRecord> = attempts.iter().filter(|attempt| attempt.ran).collect();
         let (Some(first), Some(last)) = (ran.first(), ran.last()) else { return };
@@ -186,27 +189,28 @@
             Semantics::Idempotent => false,
             Semantics::AtMostOnce => ran.len() > 1 && !request.sent_twice,
             Semantics::Keyed => {
-                last.first_byte_at > first.first_byte_at + self.site.dedup_window + HOLD_SLACK + SOCKET_SLACK
+                last.first_byte_at > first.first_byte_at + self.site.dedup_window + PAUSE_SLACK + SOCKET_SLACK
             }
         };
         if wrong {
-            let text = format!("{:?} ran {} times: {ran:?}", request.semantics, ran.len());
+            let text = format!("{:?} request ran {} times: {ran:?}", request.semantics, ran.len());
             found.push(violation(Rule::Duplicate, Some(request.id), last.first_byte_at, text));
         }
     }
 
-    fn no_send_after_leave(&self, request: &RequestRecord, found: &mut Vec<Violation>) {
+    fn check_sends_after_leave(&self, request: &RequestRecord, found: &mut Vec<Violation>) {
         let Some(left_at) = request.left_at else { return };
         for attempt in self.attempts(request.id) {
             let late = attempt.first_byte_at - left_at;
             if late > LEAVE_GRACE + self.slack {
-                let text = format!("begun {late:.0} ms after its client left; {request:?}; {attempt:?}");
+                let text =
+                    format!("attempt began {late:.0} ms after its client left; {request:?}; {attempt:?}");
                 found.push(violation(Rule::Leave, Some(request.id), attempt.first_byte_at, text));
             }
         }
     }
 
-    fn no_longer_deadline(&self, request: &RequestRecord, found: &mut Vec<Violation>) {
+    fn check_deadlines(&self, request: &RequestRecord, found: &mut Vec<Violation>) {
         for attempt in self.attempts(request.id) {
             let left = request.expires_at() - attempt.first_byte_at;
             let Some(deadline) = attempt.deadline else { continue };
@@ -219,13 +223,13 @@
         }
     }
 
-    fn well_formed(&self, found: &mut Vec<Violation>) {
+    fn check_attempts_well_formed(&self, found: &mut Vec<Violation>) {
         for attempt in self.records.attempts.iter().filter(|attempt| attempt.received_at.is_some()) {
             let request = attempt.request.and_then(|id| self.records.requests.get(&id));
             let wrong = match request {
-                None => Some("it carries no request's id"),
+                None => Some("no id of a known request"),
                 Some(request) if request.semantics == Semantics::Keyed && !attempt.keyed => {
-                    Some("it lost its key")
+                    Some("no idempotency key")
                 }
                 Some(_) => None,
             };
@@ -236,7 +240,7 @@
         }
     }
 
-    fn no_send_to_drained(&self, found: &mut Vec<Violation>) {
+    fn check_sends_to_drained(&self, found: &mut Vec<Violation>) {
         let notified: HashMap<(usize, &str), Millis> = self
             .records
             .removal_notices
@@ -259,7 +263,7 @@
         }
     }
 
-    /// Whether the gateway that made an attempt had been told of a server's start by then.
+    /// Whether the gateway that made an attempt had been notified of the server's start when the attempt began.
     fn was_notified_of_start(&self, attempt: &AttemptRecord, start: &ColdStart) -> bool {
         let request = attempt.request.and_then(|id| self.records.requests.get(&id));
         let notified = |gateway: usize| {
@@ -271,8 +275,9 @@
         request.is_some_and(|request| notified(request.gateway))
     }
 
-    /// The rule is broken at a fall of which over two thirds came from gateways that had been told of the start.
-    fn slow_start(&self, found: &mut Vec<Violation>) {
+    /// A server that starts cold must not receive more requests within the overload window than it can bear. The rule is
+    /// broken only if over two thirds of these requests came from gateways that had been notified of the start.
+    fn check_slow_start(&self, found: &mut Vec<Violation>) {
         for start in &self.records.cold_starts {
             let site = self.site;
             let mut sends: Vec<(Millis, bool)> = self
@@ -290,16 +295,19 @@
                 let warmth = site.cold_from + (1.0 - site.cold_from) * (at - start.at) / site.cold_for;
                 let allowed =
                     site.overload_multiple * warmth * start.capacity * site.overload_window / 1000.0;
-                let factor = if allowed < 30.0 { (3.0, 3.0) } else { (2.0, 2.0) };
-                let bound = allowed + factor.0 * allowed.sqrt() + factor.1;
+                let (deviations, extra) = if allowed < 30.0 { (3.0, 3.0) } else { (2.0, 2.0) };
+                let bound = allowed + deviations * allowed.sqrt() + extra;
                 let window = sends[..=last].iter().filter(|(other, _)| *other > at - site.overload_window);
-                let (got, notified) = window.fold((0, 0), |(got, notified), (_, was_notified)| {
-                    (got + 1, notified + u32::from(*was_notified))
+                let (received, notified) = window.fold((0, 0), |(received, notified), (_, was_notified)| {
+                    (received + 1, notified + u32::from(*was_notified))
                 });
-                if f64::from(got) > bound && 3 * notified > 2 * got {
+                if f64::from(received) > bound && 3 * notified > 2 * received {
                     let span = site.overload_window;
                     let text =
-                        format!("{got} requests ({notified} from notified gateways), at most {bound:.1} allowed in {span:.0} ms; {start:?}");
+                        format!(
+                            "{received} requests ({notified} from notified gateways) in {span:.0} ms, at most {bound:.1} \
+                             allowed; {start:?}"
+                        );
                     found.push(violation(Rule::SlowStart, None, *at, text));
                     break;
                 }
@@ -307,23 +315,23 @@
         }
     }
 
-    fn ceilings(&self, found: &mut Vec<Violation>) {
-        let mut tries: HashMap<u64, Vec<Millis>> = HashMap::new();
+    fn check_ceilings(&self, found: &mut Vec<Violation>) {
+        let mut sends: HashMap<u64, Vec<Millis>> = HashMap::new();
         for request in self.records.requests.values().filter(|request| PLANS[request.plan] == Plan::Ceiling) {
             let first = self.attempts(request.id).iter().filter_map(|attempt| attempt.received_at);
             if let Some(at) = first.reduce(f64::min) {
-                tries.entry(request.customer).or_default().push(at);
+                sends.entry(request.customer).or_default().push(at);
             }
         }
-        let slack = CEILING_TOLERANCE + CEILING_RATE * HOLD_SLACK / 1000.0;
-        for (customer, mut times) in tries {
+        let slack = CEILING_TOLERANCE + CEILING_RATE * PAUSE_SLACK / 1000.0;
+        for (customer, mut times) in sends {
             times.sort_by(f64::total_cmp);
-            let (mut store, mut last) = (CEILING_DEPTH, 0.0);
+            let (mut tokens, mut last) = (CEILING_DEPTH, 0.0);
             for at in times {
-                store = (store + (at - last) / 1000.0 * CEILING_RATE).min(CEILING_DEPTH) - 1.0;
+                tokens = (tokens + (at - last) / 1000.0 * CEILING_RATE).min(CEILING_DEPTH) - 1.0;
                 last = at;
-                if store < -slack {
-                    let text = format!("customer {customer:x} is {:.1} below nothing", -store);
+                if tokens < -slack {
+                    let text = format!("customer {customer:x} is {:.1} units below an empty bucket", -tokens);
                     found.push(violation(Rule::Ceiling, None, at, text));
                     break;
                 }
@@ -331,35 +339,44 @@
         }
     }
 
-    /// A window of any length holds the burst and the rate, with a tenth more, as the price of sends beyond quotas may
-    /// be 0.1, and three deviations of chance. A gateway knows nothing of what others send until it is told of a
-    /// period that lies within its life: the period that runs as it starts, the next whole one, the meter's delay, and
-    /// the way to an answer for this customer. Until then it has its part of a store of its own, as all others have.
-    fn quotas(&self, found: &mut Vec<Violation>) {
+    /// The sends of a customer in a window of any length must not exceed the burst plus the rate times its length, with:
+    ///
+    /// - 10 % more on the rate, as the price of sends beyond quotas may be 0.1;
+    /// - three standard deviations of chance;
+    /// - for each gateway that has just started, its equal share of the burst and of the rate until the meter first
+    ///   reports to it a period that lies within its run time. Before that it cannot know what other gateways send. The
+    ///   report takes the period that runs as the gateway starts, the next whole period, the meter's delay, and the
+    ///   time until a response to this customer brings it.
+    fn check_quotas(&self, found: &mut Vec<Violation>) {
         let Some(meter) = self.site.meter else { return };
-        let between_answers = 1000.0 * self.site.gateways as f64 / self.site.offered_per_quota_customer();
-        let learned_after = 2.0 * meter.period + meter.delay + 2.0 * between_answers + self.slack;
+        let response_interval = 1000.0 * self.site.gateways as f64 / self.site.offered_per_quota_customer();
+        let reported_after = 2.0 * meter.period + meter.delay + 2.0 * response_interval + self.slack;
         let mut sends: HashMap<u64, Vec<Millis>> = HashMap::new();
         for request in self.records.requests.values().filter(|request| PLANS[request.plan] == Plan::Quota) {
-            let whole = self.attempts(request.id).iter().filter_map(|attempt| attempt.received_at);
-            if let Some(at) = whole.reduce(f64::min) {
+            let received = self.attempts(request.id).iter().filter_map(|attempt| attempt.received_at);
+            if let Some(at) = received.reduce(f64::min) {
                 sends.entry(request.customer).or_default().push(at);
             }
         }
         for (customer, mut sends) in sends {
             sends.sort_by(f64::total_cmp);
-            if let Some((from, to, sent, allowed)) = self.beyond_quota(&sends, learned_after) {
-                let text = format!("customer {customer:x}: {sent} of {allowed:.1} from {from:.0} ms on");
+            if let Some((from, to, sent, allowed)) = self.first_excess_over_quota(&sends, reported_after) {
+                let text = format!(
+                    "customer {customer:x}: {sent} sends from {from:.0} to {to:.0} ms, at most {allowed:.1} allowed"
+                );
                 found.push(violation(Rule::Quota, None, to, text));
             }
         }
     }
 
-    /// The first window of sends that holds more than it may: where it begins and ends, what it holds and what it may
-    /// hold.
-    fn beyond_quota(&self, sends: &[Millis], learned_after: Millis) -> Option<(Millis, Millis, usize, f64)> {
+    /// The first window in which more was sent than allowed: its start, its end, the sends in it and the allowed number.
+    fn first_excess_over_quota(
+        &self,
+        sends: &[Millis],
+        reported_after: Millis,
+    ) -> Option<(Millis, Millis, usize, f64)> {
         let quota = self.site.quota;
-        let part = (quota.burst + quota.rate * learned_after / 1000.0) / self.site.gateways as f64;
+        let share = (quota.burst + quota.rate * reported_after / 1000.0) / self.site.gateways as f64;
         let starts: Vec<Millis> = self
             .records
             .incarnations
@@ -370,9 +387,10 @@
         for (first, from) in sends.iter().enumerate() {
             for (last, to) in sends.iter().enumerate().skip(first) {
                 let sent = last - first + 1;
-                let unknowing = starts.iter().filter(|start| **start > from - learned_after && **start < *to);
+                let uninformed =
+                    starts.iter().filter(|start| **start > from - reported_after && **start < *to);
                 let expected =
-                    quota.burst + 1.1 * quota.rate * (to - from) / 1000.0 + part * unknowing.count() as f64;
+                    quota.burst + 1.1 * quota.rate * (to - from) / 1000.0 + share * uninformed.count() as f64;
                 let allowed = expected + 3.0 * expected.sqrt();
                 if sent as f64 > allowed {
                     return Some((*from, *to, sent, allowed));
@@ -382,7 +400,7 @@
         None
     }
 
-    fn processes(&self, found: &mut Vec<Violation>) {
+    fn check_processes(&self, found: &mut Vec<Violation>) {
         for (gateway, incarnations) in self.records.incarnations.iter().enumerate() {
             for (number, incarnation) in incarnations.iter().enumerate() {
                 let mut broken = |at, why: String| {
@@ -390,12 +408,14 @@
                     found.push(violation(Rule::Process, None, at, text));
                 };
                 match (incarnation.exited, incarnation.kill_sent_at, incarnation.term_sent_at) {
-                    (Some((at, _)), None, None) => broken(at, "it ended by itself".into()),
-                    (Some((at, false)), None, Some(_)) => broken(at, "it ended with an error".into()),
+                    (Some((at, _)), None, None) => broken(at, "it exited by itself".into()),
+                    (Some((at, false)), None, Some(_)) => {
+                        broken(at, "it exited with an error after SIGTERM".into())
+                    }
                     (Some((at, _)), Some(killed), Some(terminated))
                         if incarnation.log_unread && killed > terminated =>
                     {
-                        broken(at, "nobody read its log, and it did not end".into());
+                        broken(at, "it did not exit after SIGTERM while its log was unread".into());
                     }
                     _ => {}
                 }
@@ -407,13 +427,13 @@
         }
     }
 
-    fn bad_clients(&self, found: &mut Vec<Violation>) {
+    fn check_bad_clients(&self, found: &mut Vec<Violation>) {
         for client in &self.records.bad_clients {
             let incarnation = self.incarnation(client.gateway, client.incarnation);
             let over = incarnation
                 .and_then(|incarnation| incarnation.kill_sent_at.or(incarnation.exited.map(|(at, _)| at)));
             let late = match (client.ended_at, over) {
-                (Some(at), _) => at - client.connected_at > BAD_CLIENT_ENDS + self.slack,
+                (Some(at), _) => at - client.connected_at > BAD_CLIENT_TIMEOUT + self.slack,
                 (None, Some(_)) => false,
                 (None, None) => true,
             };
