--- a/fault-soak/src/invariants.rs
+++ b/fault-soak/src/invariants.rs
@@ -21,8 +21,8 @@
 const RESPONSE_GRACE: Millis = 500.0;
 /// A gateway process that is paused may exceed a deduplication window by up to this.
 const PAUSE_SLACK: Millis = 150.0;
-/// A gateway may close an idle connection while a request is on its way to it. The client sees such a close within
-/// this time.
+/// A gateway may close an idle connection while the client's next request is on its way. The client sees an orderly
+/// close of this kind within this time after the request; a reset counts at any time.
 const CROSSING_CLOSE: Millis = 60.0;
 /// A bad client must get an error or a close within this.
 const BAD_CLIENT_TIMEOUT: Millis = 3000.0;
--- a/fault-soak/tests/oracle.rs
+++ b/fault-soak/tests/oracle.rs
@@ -1,4 +1,4 @@
-//! The oracle fires: for each rule, records that break it and the same ones that keep it.
+//! Tests of the oracle: for each rule, records that break it and similar ones that do not.
 
 use fault_soak::event_log::*;
 use fault_soak::invariants::{check, Rule};
@@ -45,7 +45,7 @@
         keyed: true,
         ran: true,
         finished_at: Some(first_byte_at + 50.0),
-        handling: "answer",
+        handling: "response",
     }
 }
 
@@ -71,48 +71,56 @@
 }
 
 #[test]
-fn a_usual_request_breaks_nothing() {
+fn a_valid_request_breaks_no_rule() {
     for semantics in [Semantics::Idempotent, Semantics::Keyed, Semantics::AtMostOnce] {
         assert_eq!(broken(&records(request(semantics), vec![attempt(1010.0)])), []);
     }
 }
 
 #[test]
-fn every_request_is_owed_its_answer_in_time() {
-    let endings = [
+fn a_request_without_a_response_in_time_is_lost() {
+    let outcomes = [
         (Outcome::NoResponse, 5000.0),
         (Outcome::Closed { reset: false }, 1300.0),
         (Outcome::Closed { reset: true }, 1300.0),
         (Outcome::Response { status: 504, body_matches: false }, 2700.0),
     ];
-    for outcome in endings {
+    for outcome in outcomes {
         let mut lost = request(Semantics::Idempotent);
         lost.outcome = Some(outcome.clone());
         assert_eq!(broken(&records(lost.clone(), vec![])), [Rule::Lost], "{outcome:?}");
         lost.left_at = Some(1050.0);
-        assert_eq!(broken(&records(lost, vec![])), [], "its client left");
+        assert_eq!(broken(&records(lost, vec![])), [], "a request whose client left is not lost");
     }
     let mut crossed = request(Semantics::Idempotent);
     (crossed.connection_use, crossed.outcome) =
         (ConnectionUse::Reused, Some((Outcome::Closed { reset: true }, 1300.0)));
-    assert_eq!(broken(&records(crossed.clone(), vec![])), [], "its connection ended before it was read");
-    assert_eq!(broken(&records(crossed, vec![attempt(1010.0)])), [Rule::Lost], "it was read");
+    assert_eq!(
+        broken(&records(crossed.clone(), vec![])),
+        [],
+        "the gateway closed the connection before it read the request"
+    );
+    assert_eq!(
+        broken(&records(crossed, vec![attempt(1010.0)])),
+        [Rule::Lost],
+        "the gateway had read the request"
+    );
 }
 
 #[test]
-fn answers_say_what_happened() {
+fn responses_must_match_what_servers_did() {
     let mut foreign = request(Semantics::Idempotent);
     foreign.outcome = Some((Outcome::Response { status: 200, body_matches: false }, 1100.0));
     assert_eq!(broken(&records(foreign, vec![attempt(1010.0)])), [Rule::Foreign]);
     let mut refused = request(Semantics::Idempotent);
     refused.outcome = Some((Outcome::Response { status: 429, body_matches: false }, 1100.0));
     assert_eq!(broken(&records(refused.clone(), vec![attempt(1010.0)])), [Rule::Refused]);
-    let turned_away = AttemptRecord { ran: false, ..attempt(1010.0) };
-    assert_eq!(broken(&records(refused, vec![turned_away])), []);
+    let rejected = AttemptRecord { ran: false, ..attempt(1010.0) };
+    assert_eq!(broken(&records(refused, vec![rejected])), []);
 }
 
 #[test]
-fn no_effect_happens_too_often() {
+fn a_request_that_runs_too_often_is_a_duplicate() {
     let twice = vec![attempt(1010.0), attempt(1500.0)];
     assert_eq!(broken(&records(request(Semantics::AtMostOnce), twice.clone())), [Rule::Duplicate]);
     assert_eq!(broken(&records(request(Semantics::Keyed), twice)), []);
@@ -121,13 +129,13 @@
 }
 
 #[test]
-fn attempts_begin_only_while_they_may() {
+fn attempts_after_a_leave_or_drain_and_too_long_deadlines_are_found() {
     let mut left = request(Semantics::Idempotent);
     left.left_at = Some(1100.0);
     assert_eq!(broken(&records(left.clone(), vec![attempt(1150.0)])), []);
     assert_eq!(broken(&records(left, vec![attempt(1300.0)])), [Rule::Leave]);
-    let generous = AttemptRecord { deadline: Some(1500.0), ..attempt(1010.0) };
-    assert_eq!(broken(&records(request(Semantics::Idempotent), vec![generous])), [Rule::Deadline]);
+    let too_long = AttemptRecord { deadline: Some(1500.0), ..attempt(1010.0) };
+    assert_eq!(broken(&records(request(Semantics::Idempotent), vec![too_long])), [Rule::Deadline]);
     let mut drained = records(request(Semantics::Idempotent), vec![attempt(1600.0)]);
     drained.removal_notices = vec![RemovalNotice { gateway: 0, server: "s-1".into(), notified_at: 700.0 }];
     assert_eq!(broken(&drained), []);
@@ -136,30 +144,31 @@
 }
 
 #[test]
-fn what_is_sent_carries_its_id_and_its_key() {
-    let nameless = AttemptRecord { request: None, ..attempt(1010.0) };
-    assert_eq!(broken(&records(request(Semantics::Idempotent), vec![nameless])), [Rule::Malformed]);
-    let keyless = AttemptRecord { keyed: false, ..attempt(1010.0) };
-    assert_eq!(broken(&records(request(Semantics::Keyed), vec![keyless])), [Rule::Malformed]);
+fn attempts_without_an_id_or_a_needed_key_are_malformed() {
+    let without_id = AttemptRecord { request: None, ..attempt(1010.0) };
+    assert_eq!(broken(&records(request(Semantics::Idempotent), vec![without_id])), [Rule::Malformed]);
+    let without_key = AttemptRecord { keyed: false, ..attempt(1010.0) };
+    assert_eq!(broken(&records(request(Semantics::Keyed), vec![without_key])), [Rule::Malformed]);
 }
 
 #[test]
-fn cold_servers_and_ceilings_bear_only_so_much() {
-    // 2 x 0.2 x 50 a second is 20, and 20 + 3 x root of 20 + 3 is 36.4.
-    let load = |count: usize, told_at: Millis| {
+fn overloaded_cold_servers_and_exceeded_ceilings_are_found() {
+    // At the start 2 x 0.2 x 50 requests per second are allowed, which is 20 in the window of 1 s. With the margin for
+    // chance the bound is 20 + 3 x sqrt(20) + 3 = 36.4.
+    let load = |count: usize, notified_at: Millis| {
         let attempts =
             (0..count).map(|n| AttemptRecord { ran: false, ..attempt(1010.0 + n as f64) }).collect();
         let mut records = records(request(Semantics::Idempotent), attempts);
         records.cold_starts = vec![ColdStart { server: "s-1".into(), at: 1000.0, capacity: 50.0 }];
-        records.start_notices = vec![StartNotice { gateway: 0, server: "s-1".into(), notified_at: told_at }];
+        records.start_notices = vec![StartNotice { gateway: 0, server: "s-1".into(), notified_at }];
         broken(&records)
     };
     assert_eq!(load(36, 1000.0), []);
     assert_eq!(load(45, 1000.0), [Rule::SlowStart]);
-    // Of the 45 the first 10, or 20, come before the gateway is told.
+    // The first 10, then the first 20, of the 45 requests are sent before the gateway is notified.
     assert_eq!(load(45, 1019.5), [Rule::SlowStart]);
-    assert_eq!(load(45, 1029.5), [], "more than a third came from a gateway that had not been told");
-    let tries = |count: u64| {
+    assert_eq!(load(45, 1029.5), [], "more than a third came from a gateway that had not been notified");
+    let ceiling_sends = |count: u64| {
         let mut all = records(request(Semantics::Idempotent), vec![]);
         for id in 1..=count {
             let record = RequestRecord { id, plan: 3, sent_at: 1000.0, ..request(Semantics::Idempotent) };
@@ -168,12 +177,12 @@
         }
         broken(&all)
     };
-    assert_eq!(tries(33), []);
-    assert_eq!(tries(40), [Rule::Ceiling]);
+    assert_eq!(ceiling_sends(33), []);
+    assert_eq!(ceiling_sends(40), [Rule::Ceiling]);
 }
 
 #[test]
-fn processes_start_in_time_and_end_only_when_told() {
+fn late_starts_and_unexpected_exits_break_the_process_rule() {
     let with = |change: fn(&mut Incarnation)| {
         let mut records = records(request(Semantics::Idempotent), vec![]);
         change(&mut records.incarnations[1][0]);
@@ -184,11 +193,11 @@
         [Rule::Process]
     );
     assert_eq!(with(|incarnation| incarnation.ready_at = Some(12_000.0)), [Rule::Process]);
-    let in_order = |incarnation: &mut Incarnation| {
+    let graceful = |incarnation: &mut Incarnation| {
         (incarnation.kill_sent_at, incarnation.term_sent_at, incarnation.exited) =
             (None, Some(1.0), Some((3.0, true)))
     };
-    assert_eq!(with(in_order), []);
+    assert_eq!(with(graceful), []);
     let stuck = |incarnation: &mut Incarnation| {
         (incarnation.log_unread, incarnation.term_sent_at, incarnation.kill_sent_at, incarnation.exited) =
             (true, Some(1.0), Some(7000.0), Some((7001.0, false)));
@@ -197,7 +206,7 @@
 }
 
 #[test]
-fn quotas_hold_over_all_gateways_once_they_can_know() {
+fn quotas_hold_over_all_gateways_once_the_meter_has_reported() {
     let mut site = site();
     site.meter = Some(MeterSettings { period: 500.0, delay: 200.0 });
     site.quota = Quota { rate: 10.0, burst: 20.0 };
@@ -205,34 +214,29 @@
         let mut all = records(request(Semantics::Idempotent), vec![]);
         for id in 1..=sends {
             let at = from + gap * id as f64;
-            let answer = Some((Outcome::Response { status: 200, body_matches: true }, at + 50.0));
-            let record = RequestRecord {
-                id,
-                plan: 1,
-                sent_at: at - 5.0,
-                outcome: answer,
-                ..request(Semantics::Idempotent)
-            };
+            let outcome = Some((Outcome::Response { status: 200, body_matches: true }, at + 50.0));
+            let record =
+                RequestRecord { id, plan: 1, sent_at: at - 5.0, outcome, ..request(Semantics::Idempotent) };
             all.requests.insert(id, record);
             all.attempts.push(AttemptRecord { request: Some(id), ..attempt(at) });
         }
         check(&site, &all).into_iter().map(|violation| violation.rule).collect::<Vec<_>>()
     };
-    // 20 and 1.1 x 10 x 4 s make 64, and three roots of that 88.
+    // 20 + 1.1 x 10 per second x 4 s = 64 sends are expected, and 64 + 3 x sqrt(64) = 88 allowed.
     assert_eq!(broken_by(85, 8000.0, 4000.0 / 85.0), []);
     assert_eq!(broken_by(110, 8000.0, 4000.0 / 110.0), [Rule::Quota]);
-    // Each of the two gateways has its half of a store for the first seconds.
+    // In the first seconds each of the two gateways may use half of a burst more.
     assert_eq!(broken_by(110, 100.0, 4000.0 / 110.0), []);
     assert_eq!(broken_by(200, 100.0, 4000.0 / 200.0), [Rule::Quota]);
 }
 
 #[test]
-fn bad_clients_are_sent_away_in_time() {
+fn bad_clients_must_get_an_error_or_a_close_in_time() {
     let mut late = records(request(Semantics::Idempotent), vec![]);
     let client = BadClient {
         gateway: 0,
         incarnation: 0,
-        action: "noise",
+        action: "invalid bytes",
         connected_at: 100.0,
         ended_at: Some(3500.0),
     };
