--- a/fault-soak/src/injection.rs
+++ b/fault-soak/src/injection.rs
@@ -159,9 +159,9 @@
                 self.change_syscall_faults(&all, |faults| faults.wall_clock_offset += step);
             }
             Fault::Syscalls(gateways, syscall_fault) => {
-                let chances = syscall_fault.chances();
+                let probabilities = syscall_fault.probabilities();
                 self.change_syscall_faults(&gateways, |faults| {
-                    *faults = Faults { wall_clock_offset: faults.wall_clock_offset, ..chances };
+                    *faults = Faults { wall_clock_offset: faults.wall_clock_offset, ..probabilities };
                 });
                 sleep(duration).await;
                 self.change_syscall_faults(&gateways, |faults| {
--- a/fault-soak/src/scenario.rs
+++ b/fault-soak/src/scenario.rs
@@ -1,4 +1,7 @@
-//! What a run is like: its site and its troubles, drawn from one seed.
+//! Scenarios: the parameters of a run and the faults injected into it, drawn from a seed.
+//!
+//! A seed must always give the same scenario, so the order and number of the random draws, the order of the lists that
+//! are chosen from by index, and the constants mixed into the seed are fixed.
 
 use crate::counter::CounterBehaviour;
 use crate::discovery::RegistryMode;
@@ -8,77 +11,77 @@
 use crate::site::{Class, Quota, Site};
 use oorandom::Rand64;
 
-/// Something that goes wrong.
+/// A fault that is injected into a run. Lists of `usize` are indices of gateways.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Fault {
-    /// Gateways are told to end and get further signals of both kinds until they have, and at their next start.
+    /// Gateways get SIGTERM, further SIGTERMs and SIGHUPs until they have exited, and SIGHUPs as they start again.
     SignalSeries(Vec<usize>),
-    /// The configuration is rewritten in place, with the signal while it is cut short.
+    /// Configurations are rewritten in place, and SIGHUP comes while the files are truncated.
     RewriteConfigInPlace,
-    /// Gateways are restarted while their configuration is cut short.
+    /// Gateways are restarted while their configuration files are truncated.
     TruncatedConfigAtStart(Vec<usize>),
-    /// The counter moves, with nothing of what it kept, and a new configuration says so.
+    /// The counter moves to a new address and loses its contents; a new configuration announces the address.
     CounterMoves,
-    /// Idle clients fill the descriptors of all gateways, while agents may be silent.
+    /// Idle connections use up the file descriptors of all gateways.
     IdleConnectionsEverywhere {
-        /// Whether agents are silent meanwhile.
+        /// Whether discovery does not answer meanwhile.
         discovery_down: bool,
     },
-    /// An area is cut off.
+    /// The servers of a zone cannot be reached, while their connections stay open.
     BlackholeZone(usize),
-    /// An area is lost and comes back cold.
+    /// The servers of a zone crash and start again cold.
     CrashZone(usize),
-    /// Gateways are restarted with a log that nobody reads.
+    /// Gateways are restarted with a pipe for the log that is never read.
     UnreadLog(Vec<usize>),
-    /// Gateways are told to end, and start again.
+    /// Gateways get SIGTERM and start again.
     Terminate(Vec<usize>),
-    /// Gateways are killed, and start again.
+    /// Gateways get SIGKILL and start again.
     Kill(Vec<usize>),
-    /// Gateways are held up for a moment, again and again.
+    /// Gateways are paused with SIGSTOP for a moment, repeatedly.
     Pause(Vec<usize>),
-    /// A new configuration moves discovery; reading it may fail for a moment.
+    /// A new configuration moves discovery to a new address; reading it may fail at first.
     Reload {
-        /// Whether open fails at first.
+        /// Whether `open` of the configuration fails at first.
         unreadable: bool,
     },
-    /// New configurations in a row, each of which moves discovery.
+    /// Several new configurations in a row, each of which moves discovery.
     ReloadBurst,
-    /// Gateways are told to end right after a new configuration, and again as soon as they are back.
+    /// Gateways get SIGTERM right after a new configuration, and again as soon as they have started again.
     ReloadAndTerminate(Vec<usize>),
-    /// Servers drain, then go; new ones join.
+    /// So many servers drain and are removed; each is replaced by a new, cold one.
     ReplaceServers(usize),
-    /// Servers crash and come back cold.
+    /// So many servers crash and start again cold.
     CrashServers(usize),
-    /// Lines to servers go silent.
+    /// So many servers cannot be reached, while their connections stay open.
     BlackholeServers(usize),
-    /// Servers hang, fail, reset, spoil, or close.
+    /// So many servers show a fault in how they handle requests.
     FaultyServers(usize, ServerFault),
-    /// Lines to servers bring answers late and in pieces.
+    /// Responses of all servers arrive late and in small pieces.
     SlowChunkedResponses,
-    /// Agents fall silent.
+    /// Discovery does not answer.
     DiscoveryDown,
-    /// Open watches fall silent.
+    /// Open watches are never answered.
     WatchesSilent,
-    /// Open watches are reset.
+    /// The connections of open watches are reset.
     WatchesReset,
-    /// Agents write whole, indented lists in pieces.
+    /// Discovery sends full, indented lists in small pieces.
     UnusualLists,
-    /// The counter misbehaves.
+    /// The counter shows a fault in how it handles requests.
     Counter(CounterBehaviour),
-    /// The wall clock is stepped for all, milliseconds.
+    /// The wall clock of all gateways and of the rig is stepped by so many milliseconds.
     WallClockStep(i64),
-    /// System calls of some gateways fail.
+    /// System calls of gateways fail.
     Syscalls(Vec<usize>, SyscallFault),
-    /// Idle clients fill a gateway's descriptors.
+    /// Idle connections use up the file descriptors of one gateway.
     IdleConnections(usize),
-    /// Most clients leave early.
+    /// Most clients close their connection before the response.
     ClientsLeave,
-    /// Clients connect to gateways within milliseconds while these are held up.
+    /// Many clients connect to gateways at once while these are paused.
     ConnectionBurstWhilePaused(Vec<usize>),
 }
 
 impl Fault {
-    /// The gateways whose processes it needs, if it is about some.
+    /// The gateways whose processes must run for it to have an effect; empty if it concerns no particular ones.
     pub fn gateways(&self) -> &[usize] {
         match self {
             Fault::SignalSeries(gateways)
@@ -96,45 +99,45 @@
     }
 }
 
-/// What servers do wrong.
+/// A fault in how servers handle requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServerFault {
-    /// Take requests and never answer.
+    /// Requests are accepted and never answered.
     Hang,
-    /// Answer 500.
+    /// Responses with status 500.
     Error,
-    /// Turn requests away.
+    /// Requests are rejected before they run.
     Reject,
-    /// Reset connections.
+    /// Connections are reset.
     Reset,
-    /// Spoil answers, send second ones, or leave out the length.
+    /// Responses are invalid, followed by a second one, or without a length.
     Malformed,
-    /// Close connections behind answers.
+    /// Connections are closed after a response.
     Close,
-    /// Are slow.
+    /// Responses take long.
     Slow,
-    /// Answer at length, with interim answers ahead, or without an end.
+    /// Responses are large, preceded by interim ones, or endless.
     LongResponses,
 }
 
-/// Which system calls fail.
+/// A fault in the system calls of a gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SyscallFault {
-    /// accept4.
+    /// `accept4` fails.
     Accept,
-    /// connect and socket.
+    /// `connect` and `socket` fail.
     Connect,
-    /// recv, send and epoll_wait end with EINTR.
+    /// `recv`, `send` and `epoll_wait` fail with EINTR.
     Interrupted,
-    /// recv and send move a few bytes.
+    /// `recv` and `send` transfer only a few bytes.
     ShortIo,
-    /// Resets show as time-outs or unreachable hosts.
+    /// Resets are reported as time-outs or unreachable hosts.
     ResetAsTimeout,
 }
 
 impl SyscallFault {
-    /// The chances for the shim.
-    pub fn chances(self) -> Faults {
+    /// The probabilities for the fault shim.
+    pub fn probabilities(self) -> Faults {
         let none = Faults::default();
         match self {
             SyscallFault::Accept => Faults { accept_fails: 0.7, ..none },
@@ -148,68 +151,69 @@
     }
 }
 
-/// A trouble, when it begins and how long it lasts.
+/// A fault with its time.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ScheduledFault {
     /// When it begins.
     pub at: Millis,
-    /// How long it lasts, where that means something.
+    /// How long it lasts; unused by faults that end by themselves.
     pub duration: Millis,
-    /// What it is.
+    /// The fault.
     pub fault: Fault,
 }
 
-/// A site and its troubles.
+/// The parameters of a run and its faults.
 #[derive(Debug, Clone)]
 pub struct Scenario {
-    /// The seed.
+    /// The seed that it was drawn from.
     pub seed: u64,
-    /// The site.
+    /// The parameters of the site.
     pub site: Site,
-    /// The troubles, in the order in which they begin.
+    /// The faults, in the order in which they begin.
     pub schedule: Vec<ScheduledFault>,
-    /// Troubles that take the place of those whose gateways are all down when they are due.
+    /// Faults to inject in place of those whose gateways are all down when they are due.
     pub substitutes: Vec<Fault>,
 }
 
 struct Rng(Rand64);
 
 impl Rng {
-    fn between(&mut self, low: f64, high: f64) -> f64 {
+    fn uniform(&mut self, low: f64, high: f64) -> f64 {
         low + (high - low) * self.0.rand_float()
     }
     fn below(&mut self, bound: usize) -> usize {
         self.0.rand_range(0..bound as u64) as usize
     }
-    fn coin(&mut self) -> bool {
+    fn boolean(&mut self) -> bool {
         self.0.rand_float() < 0.5
     }
-    fn some(&mut self, of: usize, part: f64) -> Vec<usize> {
-        let mut chosen: Vec<usize> = (0..of).filter(|_| self.0.rand_float() < part).collect();
+    /// A random subset of the indices below `count`, each with probability `share`; never empty.
+    fn subset(&mut self, count: usize, share: f64) -> Vec<usize> {
+        let mut chosen: Vec<usize> = (0..count).filter(|_| self.0.rand_float() < share).collect();
         if chosen.is_empty() {
-            chosen.push(self.below(of));
+            chosen.push(self.below(count));
         }
         chosen
     }
 }
 
-/// Of each seed, so many kinds of trouble are drawn for each second of load.
+/// The default number of faults per second of load.
 pub const FAULTS_PER_SECOND: f64 = 0.8;
-/// The first of them comes no sooner.
+/// The earliest time of a fault after the start of the run.
 const QUIET_START: Millis = 1500.0;
-/// The last of them comes no later before the end of the load.
+/// The time before the end of the load in which no fault begins.
 const QUIET_END: Millis = 2000.0;
 
 impl Scenario {
-    /// Draws the scenario of a seed, with as many troubles as is usual.
+    /// Draws the scenario of a seed with the default number of faults.
     pub fn draw(seed: u64, gateways: usize, load_duration: Millis) -> Scenario {
         Scenario::draw_dense(seed, gateways, load_duration, FAULTS_PER_SECOND)
     }
 
-    /// Draws the scenario of a seed, with so many troubles for each second of load.
+    /// Draws the scenario of a seed with `density` faults per second of load.
     pub fn draw_dense(seed: u64, gateways: usize, load_duration: Millis, density: f64) -> Scenario {
         let mut rng = Rng(Rand64::new(u128::from(seed) ^ 0x5eed));
-        let deadline = |rng: &mut Rng| rng.between(900.0, 3000.0).round();
+        let deadline = |rng: &mut Rng| rng.uniform(900.0, 3000.0).round();
         let classes = vec![
             Class { name: "lookup", semantics: Semantics::Idempotent, deadline: deadline(&mut rng) },
             Class { name: "submit", semantics: Semantics::Keyed, deadline: deadline(&mut rng) },
@@ -221,17 +225,17 @@
             servers,
             load_duration,
             mode: if rng.0.rand_float() < 0.7 { RegistryMode::Pushed } else { RegistryMode::OnRequest },
-            rate: rng.between(20.0, 35.0),
+            rate: rng.uniform(20.0, 35.0),
             classes,
-            dedup_window: rng.between(600.0, 4000.0),
-            drain_grace: rng.between(800.0, 2000.0),
+            dedup_window: rng.uniform(600.0, 4000.0),
+            drain_grace: rng.uniform(800.0, 2000.0),
             fd_limit: 160 + rng.below(300),
-            may_duplicate: rng.coin(),
-            may_cancel: rng.coin(),
-            cold_from: rng.between(0.08, 0.3),
-            cold_for: rng.between(4000.0, 12_000.0),
-            overload_multiple: rng.between(1.6, 2.5),
-            overload_window: rng.between(1000.0, 2000.0),
+            may_duplicate: rng.boolean(),
+            may_cancel: rng.boolean(),
+            cold_from: rng.uniform(0.08, 0.3),
+            cold_for: rng.uniform(4000.0, 12_000.0),
+            overload_multiple: rng.uniform(1.6, 2.5),
+            overload_window: rng.uniform(1000.0, 2000.0),
             meter: None,
             quota: Quota { rate: 15.0, burst: 30.0 },
             zones: 1,
@@ -239,8 +243,8 @@
         let count = (load_duration / 1000.0 * density) as usize;
         let mut schedule: Vec<ScheduledFault> = (0..count)
             .map(|_| ScheduledFault {
-                at: rng.between(QUIET_START, (load_duration - QUIET_END).max(QUIET_START + 1.0)),
-                duration: rng.between(500.0, 4000.0),
+                at: rng.uniform(QUIET_START, (load_duration - QUIET_END).max(QUIET_START + 1.0)),
+                duration: rng.uniform(500.0, 4000.0),
                 fault: fault(&mut rng, &site),
             })
             .collect();
@@ -249,67 +253,67 @@
     }
 }
 
-/// A quiet start of some runs: what begins late must be borne as well.
-const LONG_QUIET: Millis = 30_000.0;
-/// Of these runs one in so many has it.
-const LONG_QUIET_EVERY: usize = 8;
-/// Customers of [`Plan::Quota`] ask for so many times what they may use.
-const PRESSURE: f64 = 6.0;
-/// A quota's burst, in seconds of its rate.
+/// Some runs have no faults for this long at their start, as gateways must also handle faults that begin late.
+const LONG_QUIET_START: Millis = 30_000.0;
+/// One in this many runs has the long quiet start.
+const LONG_QUIET_START_ONE_IN: usize = 8;
+/// Customers of [`Plan::Quota`](crate::site::Plan::Quota) offer this many times the rate of their quota.
+const QUOTA_OVERDEMAND: f64 = 6.0;
+/// The burst of a quota, in seconds of its rate.
 const BURST_SECONDS: f64 = 2.0;
 
 impl Scenario {
-    /// Draws a scenario with what [`Scenario::draw_dense`] leaves out: a meter, two areas, a long quiet start, and
-    /// further kinds of trouble. The same seed draws another scenario there.
+    /// Draws a scenario that may also have what [`Scenario::draw_dense`] leaves out: a meter, two zones, a long quiet
+    /// start and further kinds of faults. The same seed gives a different scenario there.
     pub fn draw_wide(seed: u64, gateways: usize, load_duration: Millis, density: f64) -> Scenario {
         let mut scenario = Scenario::draw_dense(seed, gateways, load_duration, density);
         let mut rng = Rng(Rand64::new(u128::from(seed) ^ 0x71de));
-        let quiet = if rng.below(LONG_QUIET_EVERY) == 0 { LONG_QUIET } else { 0.0 };
+        let quiet = if rng.below(LONG_QUIET_START_ONE_IN) == 0 { LONG_QUIET_START } else { 0.0 };
         let site = &mut scenario.site;
         site.load_duration += quiet;
         site.zones = 1 + rng.below(2);
         if rng.0.rand_float() < 0.7 {
-            let period = rng.between(300.0, 1000.0).round();
-            site.meter = Some(MeterSettings { period, delay: rng.between(50.0, 700.0).round() });
-            let rate = site.offered_per_quota_customer() / PRESSURE;
+            let period = rng.uniform(300.0, 1000.0).round();
+            site.meter = Some(MeterSettings { period, delay: rng.uniform(50.0, 700.0).round() });
+            let rate = site.offered_per_quota_customer() / QUOTA_OVERDEMAND;
             site.quota = Quota { rate, burst: BURST_SECONDS * rate };
         }
         let site = site.clone();
-        for event in &mut scenario.schedule {
-            event.at += quiet;
-            if rng.coin() {
-                event.fault = wide_fault(&mut rng, &site);
+        for scheduled in &mut scenario.schedule {
+            scheduled.at += quiet;
+            if rng.boolean() {
+                scheduled.fault = wide_fault(&mut rng, &site);
             }
         }
         scenario
     }
 }
 
-/// Clients that connect to a gateway that is held up.
+/// The number of clients that connect at once to a paused gateway.
 pub(crate) const BURST_CLIENTS: usize = 150;
-/// Descriptors that a gateway of a hard scenario has at the least, so that they bear two such crowds: where they run out,
-/// new connections may be shut unread, and the idle crowds of the other draws see to that.
+/// The lowest limit on file descriptors of a gateway in hard scenarios: enough for two such bursts. A gateway that runs
+/// out of descriptors may close new connections unread; the faults with idle connections cover that case.
 const MIN_FD_LIMIT: usize = 2 * BURST_CLIENTS + 100;
-/// Of the troubles of a hard scenario one in so many is a crowd that comes while gateways are held up.
-const BURST_ONE_IN: usize = 8;
+/// Hard scenarios have one such burst for this many other faults.
+const FAULTS_PER_BURST: usize = 8;
 
 impl Scenario {
-    /// Draws what [`Scenario::draw_wide`] draws, and on top of it crowds that connect while gateways are held up, and
-    /// troubles for the places of those that come to nothing.
+    /// Draws what [`Scenario::draw_wide`] draws, and adds bursts of connections to paused gateways, and substitutes for
+    /// faults that would have no effect when they are due.
     pub fn draw_hard(seed: u64, gateways: usize, load_duration: Millis, density: f64) -> Scenario {
         let mut scenario = Scenario::draw_wide(seed, gateways, load_duration, density);
         let mut rng = Rng(Rand64::new(u128::from(seed) ^ 0xc40d));
         scenario.site.fd_limit = scenario.site.fd_limit.max(MIN_FD_LIMIT);
-        let first = scenario.schedule.first().map_or(QUIET_START, |event| event.at);
+        let first = scenario.schedule.first().map_or(QUIET_START, |scheduled| scheduled.at);
         let last = (scenario.site.load_duration - QUIET_END).max(first + 1.0);
-        let crowds = scenario.schedule.len().div_ceil(BURST_ONE_IN);
-        for _ in 0..crowds {
-            let fault = Fault::ConnectionBurstWhilePaused(rng.some(gateways, 0.3));
-            scenario.schedule.push(ScheduledFault { at: rng.between(first, last), duration: 0.0, fault });
+        let bursts = scenario.schedule.len().div_ceil(FAULTS_PER_BURST);
+        for _ in 0..bursts {
+            let fault = Fault::ConnectionBurstWhilePaused(rng.subset(gateways, 0.3));
+            scenario.schedule.push(ScheduledFault { at: rng.uniform(first, last), duration: 0.0, fault });
         }
         scenario.schedule.sort_by(|one, other| one.at.total_cmp(&other.at));
         for _ in 0..scenario.schedule.len() {
-            let wide = rng.coin();
+            let wide = rng.boolean();
             let substitute =
                 if wide { wide_fault(&mut rng, &scenario.site) } else { fault(&mut rng, &scenario.site) };
             scenario.substitutes.push(substitute);
@@ -320,28 +324,28 @@
 
 fn wide_fault(rng: &mut Rng, site: &Site) -> Fault {
     match rng.below(9) {
-        0 | 1 => Fault::SignalSeries(rng.some(site.gateways, 0.3)),
+        0 | 1 => Fault::SignalSeries(rng.subset(site.gateways, 0.3)),
         2 => Fault::RewriteConfigInPlace,
-        3 => Fault::TruncatedConfigAtStart(rng.some(site.gateways, 0.3)),
+        3 => Fault::TruncatedConfigAtStart(rng.subset(site.gateways, 0.3)),
         4 => Fault::CounterMoves,
-        5 => Fault::IdleConnectionsEverywhere { discovery_down: rng.coin() },
+        5 => Fault::IdleConnectionsEverywhere { discovery_down: rng.boolean() },
         6 => Fault::BlackholeZone(rng.below(site.zones)),
         7 => Fault::CrashZone(rng.below(site.zones)),
-        _ => Fault::UnreadLog(rng.some(site.gateways, 0.2)),
+        _ => Fault::UnreadLog(rng.subset(site.gateways, 0.2)),
     }
 }
 
 fn fault(rng: &mut Rng, site: &Site) -> Fault {
     let servers = 1 + rng.below(site.servers / 3);
     match rng.below(20) {
-        0 | 1 => Fault::Terminate(rng.some(site.gateways, 0.4)),
-        2 => Fault::Kill(rng.some(site.gateways, 0.3)),
-        3 => Fault::Pause(rng.some(site.gateways, 0.5)),
+        0 | 1 => Fault::Terminate(rng.subset(site.gateways, 0.4)),
+        2 => Fault::Kill(rng.subset(site.gateways, 0.3)),
+        3 => Fault::Pause(rng.subset(site.gateways, 0.5)),
         4 => match rng.below(4) {
             0 => Fault::Reload { unreadable: false },
             1 => Fault::Reload { unreadable: true },
             2 => Fault::ReloadBurst,
-            _ => Fault::ReloadAndTerminate(rng.some(site.gateways, 0.3)),
+            _ => Fault::ReloadAndTerminate(rng.subset(site.gateways, 0.3)),
         },
         5 | 6 => Fault::ReplaceServers(servers),
         7 => Fault::CrashServers(servers),
@@ -384,7 +388,7 @@
                 SyscallFault::ShortIo,
                 SyscallFault::ResetAsTimeout,
             ];
-            Fault::Syscalls(rng.some(site.gateways, 0.6), syscall_faults[rng.below(syscall_faults.len())])
+            Fault::Syscalls(rng.subset(site.gateways, 0.6), syscall_faults[rng.below(syscall_faults.len())])
         }
         18 => Fault::IdleConnections(rng.below(site.gateways)),
         _ => Fault::ClientsLeave,
