--- a/fault-soak/src/discovery.rs
+++ b/fault-soak/src/discovery.rs
@@ -66,7 +66,7 @@
     /// Answers nobody and learns nothing.
     pub down: bool,
     /// Writes answers in pieces of so many bytes; 0: at once.
-    pub chunk_size: usize,
+    pub fragment_size: usize,
     /// Writes indented lists.
     pub indented: bool,
     /// Whole lists leave out what drains, and changes often come as whole lists.
@@ -318,12 +318,12 @@
             };
             let bytes =
                 format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len()).into_bytes();
-            let piece = if behaviour.chunk_size == 0 { bytes.len() } else { behaviour.chunk_size };
+            let piece = if behaviour.fragment_size == 0 { bytes.len() } else { behaviour.fragment_size };
             for part in bytes.chunks(piece) {
                 if reader.stream.write_all(part).await.is_err() {
                     return;
                 }
-                if behaviour.chunk_size > 0 {
+                if behaviour.fragment_size > 0 {
                     sleep(Duration::from_micros(200)).await;
                 }
             }
--- a/fault-soak/src/gateway.rs
+++ b/fault-soak/src/gateway.rs
@@ -255,7 +255,7 @@
     }
 
     /// Whether it takes a signal by now, or would still be ended by it: before its `main` no program can.
-    pub fn takes(&self, signal: Signal) -> bool {
+    pub fn catches(&self, signal: Signal) -> bool {
         let Some(pid) = self.state.lock().expect("lock not poisoned").pid else { return false };
         let status = fs::read_to_string(format!("/proc/{}/status", pid.as_raw_nonzero()));
         let status = status.unwrap_or_default();
--- a/fault-soak/src/injection.rs
+++ b/fault-soak/src/injection.rs
@@ -1,4 +1,4 @@
-//! Carries out the troubles of a scenario.
+//! Injects the faults of a scenario.
 
 use crate::client::open_idle_connections;
 use crate::counter::CounterBehaviour;
@@ -15,66 +15,70 @@
 use std::time::Duration;
 use tokio::time::{interval, sleep, timeout};
 
-/// How late agents hear of changes at the most.
-const LIST_LAG: Duration = Duration::from_millis(700);
-/// A replaced server drains for so long before it is gone.
-const DRAIN_SPAN: Duration = Duration::from_millis(2500);
-/// Between new configurations in a row.
+/// The longest delay until an agent receives a change of the server list.
+const MAX_LIST_DELAY: Duration = Duration::from_millis(700);
+/// How long a replaced server drains before it is removed.
+const DRAIN_DURATION: Duration = Duration::from_millis(2500);
+/// The pause between new configurations in a row.
 const RELOAD_GAP: Duration = Duration::from_millis(60);
-/// A configuration that is rewritten in place is cut short for so long at the most, and at a start.
-const CUT_SHORT: Duration = Duration::from_millis(300);
-const CUT_SHORT_AT_START: Duration = Duration::from_millis(400);
-/// Between signals in series.
-const SERIES_GAP: Duration = Duration::from_millis(70);
-const HANGUPS_AT_START: usize = 6;
-/// How long a held-up process stands still, and from one such time to the next.
+/// The longest time for which a configuration that is rewritten in place is truncated.
+const MAX_TRUNCATED: Duration = Duration::from_millis(300);
+/// How long the configuration is truncated at the start of a gateway.
+const TRUNCATED_AT_START: Duration = Duration::from_millis(400);
+/// The pause between the signals of a series.
+const SIGNAL_GAP: Duration = Duration::from_millis(70);
+/// How many SIGHUPs are sent to a gateway that starts.
+const SIGHUPS_AT_START: usize = 6;
+/// How long a gateway process is stopped at a time.
 const PAUSE: Duration = Duration::from_millis(140);
+/// The time from one stop to the next.
 const PAUSE_PERIOD: Duration = Duration::from_millis(500);
+/// How long after a gateway was stopped a burst of clients connects to it.
+const BURST_DELAY: Duration = Duration::from_millis(10);
 
-/// How long after a gateway was stopped a crowd connects to it.
-const BURST_AFTER_PAUSE: Duration = Duration::from_millis(10);
-
-/// How a gateway ends that is restarted.
+/// How a gateway is stopped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum StopMode {
+    /// By SIGTERM.
     Graceful,
+    /// By SIGKILL.
     Kill,
-    /// In order, with further signals of both kinds until it has.
+    /// By SIGTERM, with further SIGHUPs and SIGTERMs until it has exited.
     SignalSeries,
 }
 
-/// How it starts again.
+/// How a gateway is started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum StartMode {
     Normal,
-    /// Its configuration is cut short for a while.
+    /// With a configuration that is truncated at first.
     TruncatedConfig,
-    /// It is told of a new configuration again and again.
+    /// With several SIGHUPs as it starts.
     RepeatedSighup,
-    /// Nobody reads its log.
+    /// With a pipe for the log that is never read.
     UnreadLog,
 }
 
-/// Sends both signals, together and apart, while a gateway ends.
-async fn signal_while_it_ends(gateway: Arc<Gateway>) {
+/// Sends SIGHUP and SIGTERM, together and separately, until it is aborted.
+async fn send_signal_series(gateway: Arc<Gateway>) {
     loop {
-        sleep(SERIES_GAP).await;
+        sleep(SIGNAL_GAP).await;
         gateway.signal(Signal::HUP);
         gateway.signal(Signal::TERM);
-        sleep(SERIES_GAP).await;
+        sleep(SIGNAL_GAP).await;
         gateway.signal(Signal::HUP);
     }
 }
 
-/// Sends a few SIGHUPs from the first moment on in which a gateway takes them.
-async fn hang_up_at_start(gateway: Arc<Gateway>) {
-    for _ in 0..HANGUPS_AT_START {
-        let taken = async {
-            while !gateway.takes(Signal::HUP) {
+/// Sends SIGHUPs to a gateway that starts, from the moment on at which it has installed its handler.
+async fn send_sighups_at_start(gateway: Arc<Gateway>) {
+    for _ in 0..SIGHUPS_AT_START {
+        let handled = async {
+            while !gateway.catches(Signal::HUP) {
                 sleep(Duration::from_micros(200)).await;
             }
         };
-        if timeout(Duration::from_secs(1), taken).await.is_ok() {
+        if timeout(Duration::from_secs(1), handled).await.is_ok() {
             gateway.signal(Signal::HUP);
         }
         sleep(Duration::from_millis(1)).await;
@@ -82,10 +86,10 @@
 }
 
 impl Rig {
-    /// Carries out one trouble, and takes it back where it has an end.
-    pub(crate) async fn inject(self: Arc<Self>, event: ScheduledFault) {
-        let duration = millis(event.duration);
-        match event.fault {
+    /// Injects a fault, and reverts it after its duration if it does not end by itself.
+    pub(crate) async fn inject(self: Arc<Self>, scheduled: ScheduledFault) {
+        let duration = millis(scheduled.duration);
+        match scheduled.fault {
             Fault::Terminate(gateways) => {
                 self.restart(&gateways, StopMode::Graceful, StartMode::Normal).await
             }
@@ -108,7 +112,7 @@
             Fault::IdleConnectionsEverywhere { discovery_down } => {
                 self.idle_connections_everywhere(discovery_down, duration).await
             }
-            Fault::BlackholeZone(zone) => self.cut(self.servers_in_zone(zone), duration).await,
+            Fault::BlackholeZone(zone) => self.blackhole(self.servers_in_zone(zone), duration).await,
             Fault::CrashZone(zone) => self.crash(self.servers_in_zone(zone), duration).await,
             Fault::Pause(gateways) => self.pause(&gateways, duration).await,
             Fault::Reload { unreadable } => self.reload(unreadable, duration).await,
@@ -125,12 +129,15 @@
             }
             Fault::ReplaceServers(count) => self.replace(count).await,
             Fault::CrashServers(count) => self.crash(self.pick_ready(count), duration).await,
-            Fault::BlackholeServers(count) => self.cut(self.pick_ready(count), duration).await,
-            Fault::SlowChunkedResponses => {
-                let faults = ProxyFaults { blackhole: false, delay: Duration::from_millis(3), chunk_size: 7 };
-                self.lines(self.all_servers(), faults, duration).await;
+            Fault::BlackholeServers(count) => self.blackhole(self.pick_ready(count), duration).await,
+            Fault::SlowFragmentedResponses => {
+                let faults =
+                    ProxyFaults { blackhole: false, delay: Duration::from_millis(3), fragment_size: 7 };
+                self.set_proxy_faults(self.all_servers(), faults, duration).await;
+            }
+            Fault::FaultyServers(count, server_fault) => {
+                self.set_server_fault(count, server_fault, duration).await
             }
-            Fault::FaultyServers(count, server_fault) => self.misbehave(count, server_fault, duration).await,
             Fault::DiscoveryDown => {
                 self.discovery.change_behaviour(|behaviour| behaviour.down = true);
                 sleep(duration).await;
@@ -140,11 +147,11 @@
             Fault::WatchesReset => self.discovery.reset_watches(),
             Fault::UnusualLists => {
                 self.discovery.change_behaviour(|behaviour| {
-                    (behaviour.chunk_size, behaviour.indented, behaviour.full_lists) = (97, true, true);
+                    (behaviour.fragment_size, behaviour.indented, behaviour.full_lists) = (97, true, true);
                 });
                 sleep(duration).await;
                 self.discovery.change_behaviour(|behaviour| {
-                    (behaviour.chunk_size, behaviour.indented, behaviour.full_lists) = (0, false, false);
+                    (behaviour.fragment_size, behaviour.indented, behaviour.full_lists) = (0, false, false);
                 });
             }
             Fault::Counter(behaviour) => {
@@ -195,7 +202,7 @@
         for gateway in gateways {
             let (rig, gateway) = (self.clone(), self.gateways[*gateway].clone());
             restarts.spawn(async move {
-                // One life at a time: whoever comes while it is being restarted leaves it alone.
+                // Only one restart at a time: a further one is dropped.
                 let Ok(_restarting) = gateway.restarting.try_lock() else { return };
                 if gateway.availability().is_none() {
                     return;
@@ -205,7 +212,7 @@
                     StopMode::Graceful => gateway.terminate(longest).await,
                     StopMode::Kill => gateway.kill().await,
                     StopMode::SignalSeries => {
-                        let series = tokio::spawn(signal_while_it_ends(gateway.clone()));
+                        let series = tokio::spawn(send_signal_series(gateway.clone()));
                         gateway.terminate(longest).await;
                         series.abort();
                     }
@@ -218,30 +225,30 @@
 
     async fn pause(&self, gateways: &[usize], duration: Duration) {
         let rounds = duration.as_millis() / PAUSE_PERIOD.as_millis();
-        let mut starts = interval(PAUSE_PERIOD);
+        let mut ticks = interval(PAUSE_PERIOD);
         for _ in 0..rounds.max(1) {
-            starts.tick().await;
-            let held = gateways.iter().map(|gateway| self.gateways[*gateway].clone());
-            let mut holds = tokio::task::JoinSet::new();
-            held.for_each(|gateway| {
-                holds.spawn(async move { gateway.pause(PAUSE).await });
+            ticks.tick().await;
+            let paused = gateways.iter().map(|gateway| self.gateways[*gateway].clone());
+            let mut pauses = tokio::task::JoinSet::new();
+            paused.for_each(|gateway| {
+                pauses.spawn(async move { gateway.pause(PAUSE).await });
             });
-            all_of(holds).await;
+            all_of(pauses).await;
         }
     }
 
     async fn connection_burst_while_paused(&self, gateways: &[usize]) {
-        let mut crowds = tokio::task::JoinSet::new();
+        let mut bursts = tokio::task::JoinSet::new();
         for gateway in gateways.iter().map(|gateway| self.gateways[*gateway].clone()) {
-            let crowd = self.clients(&gateway).connection_burst(BURST_CLIENTS, self.draw());
-            crowds.spawn(async move {
+            let burst = self.clients(&gateway).connection_burst(BURST_CLIENTS, self.draw());
+            bursts.spawn(async move {
                 tokio::join!(gateway.pause(PAUSE), async {
-                    sleep(BURST_AFTER_PAUSE).await;
-                    crowd.await;
+                    sleep(BURST_DELAY).await;
+                    burst.await;
                 });
             });
         }
-        all_of(crowds).await;
+        all_of(bursts).await;
     }
 
     async fn reload(&self, unreadable: bool, duration: Duration) {
@@ -265,57 +272,58 @@
 
     async fn replace(&self, count: usize) {
         for server in self.pick_ready(count) {
-            self.mark(&server, State::Draining);
-            self.discovery.publish(self.entry(&server, State::Draining, 0), LIST_LAG);
+            self.set_state(&server, State::Draining);
+            self.discovery.publish(self.entry(&server, State::Draining, 0), MAX_LIST_DELAY);
             let new = self.join_server(Some(self.site.capacity())).await;
-            self.discovery.publish(self.entry(&new, State::Ready, self.wall_clock()), LIST_LAG);
-            sleep(DRAIN_SPAN).await;
-            self.mark(&server, State::Gone);
-            self.discovery.publish(self.entry(&server, State::Gone, 0), LIST_LAG);
+            self.discovery.publish(self.entry(&new, State::Ready, self.wall_clock()), MAX_LIST_DELAY);
+            sleep(DRAIN_DURATION).await;
+            self.set_state(&server, State::Gone);
+            self.discovery.publish(self.entry(&server, State::Gone, 0), MAX_LIST_DELAY);
         }
     }
 
-    /// The servers of an area, of which there are others.
+    /// The servers of a zone; if all servers are in it, some of them, so that others stay.
     fn servers_in_zone(&self, zone: usize) -> Vec<Arc<Server>> {
         let all = self.all_servers();
-        let here = all.iter().filter(|server| server.zone == zone).cloned().collect::<Vec<_>>();
-        if here.len() < all.len() {
-            here
+        let in_zone = all.iter().filter(|server| server.zone == zone).cloned().collect::<Vec<_>>();
+        if in_zone.len() < all.len() {
+            in_zone
         } else {
-            self.pick_ready(here.len())
+            self.pick_ready(in_zone.len())
         }
     }
 
     async fn reload_in_place(&self) {
-        let mut writing = tokio::task::JoinSet::new();
+        let mut rewrites = tokio::task::JoinSet::new();
         for gateway in &self.gateways {
             let address = self.discovery.listen(gateway.index).await;
             self.discovery_addresses.lock().expect("lock not poisoned")[gateway.index] = address;
-            let span = CUT_SHORT.mul_f64((self.draw() % 1000) as f64 / 1000.0);
-            writing.spawn(gateway.configure_in_place(&self.site, &self.peers(gateway.index), span));
+            let span = MAX_TRUNCATED.mul_f64((self.draw() % 1000) as f64 / 1000.0);
+            rewrites.spawn(gateway.configure_in_place(&self.site, &self.peers(gateway.index), span));
             if gateway.availability().is_some() {
                 gateway.signal(Signal::HUP);
             }
         }
-        all_of(writing).await;
+        all_of(rewrites).await;
     }
 
     async fn idle_connections_everywhere(&self, discovery_down: bool, duration: Duration) {
         if discovery_down {
             self.discovery.change_behaviour(|behaviour| behaviour.down = true);
         }
-        let mut crowds = tokio::task::JoinSet::new();
+        let mut connections = tokio::task::JoinSet::new();
         for gateway in &self.gateways {
-            crowds.spawn(open_idle_connections(gateway.clone(), self.site.fd_limit, duration));
+            connections.spawn(open_idle_connections(gateway.clone(), self.site.fd_limit, duration));
         }
-        all_of(crowds).await;
+        all_of(connections).await;
         if discovery_down {
             self.discovery.change_behaviour(|behaviour| behaviour.down = false);
         }
     }
 
-    async fn cut(&self, servers: Vec<Arc<Server>>, duration: Duration) {
-        self.lines(servers, ProxyFaults { blackhole: true, ..ProxyFaults::default() }, duration).await;
+    async fn blackhole(&self, servers: Vec<Arc<Server>>, duration: Duration) {
+        self.set_proxy_faults(servers, ProxyFaults { blackhole: true, ..ProxyFaults::default() }, duration)
+            .await;
     }
 
     async fn crash(&self, servers: Vec<Arc<Server>>, duration: Duration) {
@@ -323,18 +331,18 @@
         sleep(duration).await;
         for server in servers {
             server.start(Some(self.site.capacity())).await;
-            // One that was replaced meanwhile is on the list no more.
+            // A server that was replaced meanwhile must not come back onto the list.
             let servers = self.servers.lock().expect("lock not poisoned");
             let ready =
                 servers.iter().any(|(known, state)| known.uid == server.uid && *state == State::Ready);
             drop(servers);
             if ready {
-                self.discovery.publish(self.entry(&server, State::Ready, self.wall_clock()), LIST_LAG);
+                self.discovery.publish(self.entry(&server, State::Ready, self.wall_clock()), MAX_LIST_DELAY);
             }
         }
     }
 
-    async fn lines(&self, servers: Vec<Arc<Server>>, faults: ProxyFaults, duration: Duration) {
+    async fn set_proxy_faults(&self, servers: Vec<Arc<Server>>, faults: ProxyFaults, duration: Duration) {
         servers.iter().for_each(|server| server.proxy.set_faults(faults));
         sleep(duration).await;
         for server in servers {
@@ -350,50 +358,50 @@
         servers.iter().map(|(server, _)| server.clone()).collect()
     }
 
-    async fn misbehave(&self, count: usize, server_fault: ServerFault, duration: Duration) {
-        let usual = ServerBehaviour { work_factor: 1.0, ..ServerBehaviour::default() };
+    async fn set_server_fault(&self, count: usize, server_fault: ServerFault, duration: Duration) {
+        let normal = ServerBehaviour { work_factor: 1.0, ..ServerBehaviour::default() };
         let behaviour = match server_fault {
-            ServerFault::Hang => ServerBehaviour { hang: 0.8, ..usual },
-            ServerFault::Error => ServerBehaviour { error: 0.5, ..usual },
-            ServerFault::Reject => ServerBehaviour { reject: 0.5, ..usual },
-            ServerFault::Reset => ServerBehaviour { reset: 0.4, ..usual },
+            ServerFault::Hang => ServerBehaviour { hang: 0.8, ..normal },
+            ServerFault::Error => ServerBehaviour { error: 0.5, ..normal },
+            ServerFault::Reject => ServerBehaviour { reject: 0.5, ..normal },
+            ServerFault::Reset => ServerBehaviour { reset: 0.4, ..normal },
             ServerFault::Malformed => {
-                ServerBehaviour { malformed: 0.1, second_response: 0.2, no_length: 0.3, ..usual }
+                ServerBehaviour { malformed: 0.1, second_response: 0.2, no_length: 0.3, ..normal }
             }
-            ServerFault::Close => ServerBehaviour { close: 0.6, ..usual },
-            ServerFault::Slow => ServerBehaviour { work_factor: 20.0, ..usual },
+            ServerFault::Close => ServerBehaviour { close: 0.6, ..normal },
+            ServerFault::Slow => ServerBehaviour { work_factor: 20.0, ..normal },
             ServerFault::LongResponses => {
-                ServerBehaviour { large_body: 0.8, interim: 0.3, endless: 0.1, ..usual }
+                ServerBehaviour { large_body: 0.8, interim: 0.3, endless: 0.1, ..normal }
             }
         };
         let servers = self.pick_ready(count);
         servers.iter().for_each(|server| server.set_behaviour(behaviour));
         sleep(duration).await;
-        servers.iter().for_each(|server| server.set_behaviour(usual));
+        servers.iter().for_each(|server| server.set_behaviour(normal));
     }
 
-    /// Starts a gateway and waits until it is ready.
+    /// Starts a gateway in the given way and waits until it is ready.
     pub(crate) async fn start_as(&self, gateway: &Arc<Gateway>, start: StartMode) {
         let peers = self.peers(gateway.index);
         let log = if start == StartMode::UnreadLog { LogTarget::UnreadPipe } else { LogTarget::File };
-        let writing = if start == StartMode::TruncatedConfig {
-            let rewriting = gateway.configure_in_place(&self.site, &peers, CUT_SHORT_AT_START);
+        let rewriting = if start == StartMode::TruncatedConfig {
+            let rewriting = gateway.configure_in_place(&self.site, &peers, TRUNCATED_AT_START);
             Some(tokio::spawn(rewriting))
         } else {
             gateway.configure(&self.site, &peers);
             None
         };
-        let signals =
-            (start == StartMode::RepeatedSighup).then(|| tokio::spawn(hang_up_at_start(gateway.clone())));
+        let signals = (start == StartMode::RepeatedSighup)
+            .then(|| tokio::spawn(send_sighups_at_start(gateway.clone())));
         if !gateway.start(&peers, log).await {
             self.event_log.add_to_timeline(format!("gateway {} was not ready within 30 s", gateway.index));
         }
-        for task in [writing, signals].into_iter().flatten() {
+        for task in [rewriting, signals].into_iter().flatten() {
             let _ = task.await;
         }
     }
 
-    /// Some servers that are ready, drawn by lot; never so many that less than half of them would be left.
+    /// Up to `count` random servers that are ready, but at most half of them.
     fn pick_ready(&self, count: usize) -> Vec<Arc<Server>> {
         let servers = self.servers.lock().expect("lock not poisoned");
         let mut ready: Vec<Arc<Server>> = servers
@@ -402,19 +410,19 @@
             .map(|(server, _)| server.clone())
             .collect();
         drop(servers);
-        let most = count.min(ready.len() / 2);
+        let number = count.min(ready.len() / 2);
         let mut chosen = Vec::new();
-        while chosen.len() < most {
-            let place = (self.draw() % ready.len() as u64) as usize;
-            chosen.push(ready.swap_remove(place));
+        while chosen.len() < number {
+            let index = (self.draw() % ready.len() as u64) as usize;
+            chosen.push(ready.swap_remove(index));
         }
         chosen
     }
 
-    fn mark(&self, server: &Server, state: State) {
+    fn set_state(&self, server: &Server, state: State) {
         let mut servers = self.servers.lock().expect("lock not poisoned");
-        if let Some((_, held)) = servers.iter_mut().find(|(known, _)| known.uid == server.uid) {
-            *held = state;
+        if let Some((_, current)) = servers.iter_mut().find(|(known, _)| known.uid == server.uid) {
+            *current = state;
         }
     }
 }
--- a/fault-soak/src/proxy.rs
+++ b/fault-soak/src/proxy.rs
@@ -21,7 +21,7 @@
     /// Each piece of an answer comes this much later.
     pub delay: Duration,
     /// Answers come in pieces of this many bytes; 0: as they were written.
-    pub chunk_size: usize,
+    pub fragment_size: usize,
 }
 
 /// Between two pieces of an answer.
@@ -124,12 +124,12 @@
                         continue;
                     }
                     sleep_if_any(now.delay).await;
-                    let piece = if now.chunk_size == 0 { count } else { now.chunk_size };
+                    let piece = if now.fragment_size == 0 { count } else { now.fragment_size };
                     for part in bytes[..count].chunks(piece) {
                         if near_write.write_all(part).await.is_err() {
                             return false;
                         }
-                        if now.chunk_size > 0 {
+                        if now.fragment_size > 0 {
                             sleep(PIECE_GAP).await;
                         }
                     }
--- a/fault-soak/src/scenario.rs
+++ b/fault-soak/src/scenario.rs
@@ -57,7 +57,7 @@
     /// So many servers show a fault in how they handle requests.
     FaultyServers(usize, ServerFault),
     /// Responses of all servers arrive late and in small pieces.
-    SlowChunkedResponses,
+    SlowFragmentedResponses,
     /// Discovery does not answer.
     DiscoveryDown,
     /// Open watches are never answered.
@@ -363,7 +363,7 @@
             ];
             Fault::FaultyServers(servers, server_faults[rng.below(server_faults.len())])
         }
-        11 => Fault::SlowChunkedResponses,
+        11 => Fault::SlowFragmentedResponses,
         12 => match rng.below(4) {
             0 => Fault::DiscoveryDown,
             1 => Fault::WatchesSilent,
