--- a/fault-soak/src/injection.rs
+++ b/fault-soak/src/injection.rs
@@ -5,7 +5,7 @@
 use crate::discovery::State;
 use crate::gateway::{Gateway, LogTarget};
 use crate::proxy::ProxyFaults;
-use crate::run::{all_of, millis, ProxiedCounter, Rig};
+use crate::run::{join_all, millis, ProxiedCounter, Rig};
 use crate::scenario::{Fault, ScheduledFault, ServerFault, BURST_CLIENTS};
 use crate::server::{Server, ServerBehaviour};
 use crate::shim::Faults;
@@ -220,7 +220,7 @@
                 rig.start_as(&gateway, start).await;
             });
         }
-        all_of(restarts).await;
+        join_all(restarts).await;
     }
 
     async fn pause(&self, gateways: &[usize], duration: Duration) {
@@ -233,7 +233,7 @@
             paused.for_each(|gateway| {
                 pauses.spawn(async move { gateway.pause(PAUSE).await });
             });
-            all_of(pauses).await;
+            join_all(pauses).await;
         }
     }
 
@@ -248,7 +248,7 @@
                 });
             });
         }
-        all_of(bursts).await;
+        join_all(bursts).await;
     }
 
     async fn reload(&self, unreadable: bool, duration: Duration) {
@@ -304,7 +304,7 @@
                 gateway.signal(Signal::HUP);
             }
         }
-        all_of(rewrites).await;
+        join_all(rewrites).await;
     }
 
     async fn idle_connections_everywhere(&self, discovery_down: bool, duration: Duration) {
@@ -315,7 +315,7 @@
         for gateway in &self.gateways {
             connections.spawn(open_idle_connections(gateway.clone(), self.site.fd_limit, duration));
         }
-        all_of(connections).await;
+        join_all(connections).await;
         if discovery_down {
             self.discovery.change_behaviour(|behaviour| behaviour.down = false);
         }
--- a/fault-soak/src/run.rs
+++ b/fault-soak/src/run.rs
@@ -1,4 +1,4 @@
-//! One run: starts everything, plays the troubles, and hands over what the log holds.
+//! One run: starts the gateways and the stand-ins, produces load, injects the faults, and checks the rules.
 
 use crate::client::Clients;
 use crate::counter::Counter;
@@ -22,54 +22,60 @@
 use std::{fs, io};
 use tokio::time::{sleep, timeout};
 
-/// The rig's own timer is looked at this often.
-const LATENESS_PERIOD: Duration = Duration::from_millis(10);
-/// After the load the troubles are over and what is in hand is answered within this.
+/// How often the delay of the rig's own timer is measured.
+const TIMER_CHECK_PERIOD: Duration = Duration::from_millis(10);
+/// Faults end and open requests are answered within this after the load; the run waits no longer for faults.
 const SETTLE: Duration = Duration::from_secs(9);
-/// Where a run finds what it starts and leaves its files.
+
+/// The files that a run uses.
 #[derive(Debug, Clone)]
 pub struct RunPaths {
-    /// The gateway's program.
+    /// The gateway's executable.
     pub program: PathBuf,
-    /// The preloaded library, if any.
+    /// The fault shim to preload into gateways, if any.
     pub shim: Option<PathBuf>,
-    /// The folder for configurations and logs.
+    /// The folder for configurations, logs and control files.
     pub folder: PathBuf,
 }
 
-/// What a run showed.
+/// The result of a run.
 #[derive(Debug)]
 pub struct Report {
-    /// The scenario that was played.
+    /// The scenario.
     pub scenario: Scenario,
-    /// The rules that were broken.
+    /// The violations of rules.
     pub violations: Vec<Violation>,
-    /// The log.
+    /// The records of the event log.
     pub records: Records,
 }
 
-/// All that a run has going.
+/// The test rig of one run: the gateways, their stand-ins and the state of the injected faults.
 pub(crate) struct Rig {
     pub(crate) site: Arc<Site>,
     pub(crate) event_log: Arc<EventLog>,
     pub(crate) gateways: Vec<Arc<Gateway>>,
-    /// Servers by the order in which they joined; those that went stay here.
+    /// Servers in the order in which they joined, with those that were removed.
     pub(crate) servers: Mutex<Vec<(Arc<Server>, State)>>,
     pub(crate) discovery: Arc<Discovery>,
     pub(crate) usage: Option<Usage>,
-    /// Where the counter is now.
+    /// The current counter.
     pub(crate) counter: Mutex<Arc<ProxiedCounter>>,
+    /// The sum of the steps of the wall clock, in milliseconds.
     pub(crate) wall_clock_offset: AtomicI64,
     pub(crate) rng: Mutex<Rand64>,
+    /// System call faults by gateway.
     pub(crate) syscall_faults: Mutex<Vec<Faults>>,
+    /// Most clients leave early while this is set.
     pub(crate) most_leave: Arc<AtomicBool>,
+    /// The current address of discovery by gateway.
     pub(crate) discovery_addresses: Mutex<Vec<std::net::SocketAddr>>,
-    /// The last id that a client gave a request.
-    pub(crate) ids: Arc<AtomicU64>,
+    /// The id of the next request.
+    pub(crate) next_id: Arc<AtomicU64>,
+    /// Faults that are left to replace ones without an effect.
     substitutes: Mutex<Vec<Fault>>,
 }
 
-/// A counter and the line to it.
+/// A counter and the fault proxy in front of it.
 pub(crate) struct ProxiedCounter {
     pub(crate) counter: Counter,
     pub(crate) proxy: Proxy,
@@ -83,10 +89,10 @@
     }
 }
 
-/// Plays one scenario.
+/// Runs a scenario and checks the rules of the service on its event log.
 ///
 /// # Errors
-/// What the system says of the run's files.
+/// If one of the run's files cannot be written or read.
 pub async fn run_scenario(scenario: Scenario, paths: &RunPaths) -> io::Result<Report> {
     let site = Arc::new(scenario.site.clone());
     let event_log = Arc::new(EventLog::new(site.gateways));
@@ -94,7 +100,7 @@
     let counter = Mutex::new(ProxiedCounter::start().await);
     let meter = site.meter.map(|settings| Arc::new(Meter::new(settings)));
     let usage = meter.map(|meter| Usage { meter, site: site.clone() });
-    let gateways = start_files(&site, &event_log, paths)?;
+    let gateways = create_gateways(&site, &event_log, paths)?;
     let rig = Arc::new(Rig {
         servers: Mutex::new(Vec::new()),
         wall_clock_offset: AtomicI64::new(0),
@@ -102,7 +108,7 @@
         syscall_faults: Mutex::new(vec![Faults::default(); site.gateways]),
         most_leave: Arc::new(AtomicBool::new(false)),
         discovery_addresses: Mutex::new(Vec::new()),
-        ids: Arc::new(AtomicU64::new(1)),
+        next_id: Arc::new(AtomicU64::new(1)),
         substitutes: Mutex::new(scenario.substitutes.clone()),
         site: site.clone(),
         event_log: event_log.clone(),
@@ -116,24 +122,24 @@
         rig.discovery.publish_at_start(rig.entry(&server, State::Ready, 0));
     }
     rig.start_gateways().await;
-    let lateness = tokio::spawn(watch_lateness(event_log.clone()));
-    let load = rig.clone().load(scenario.seed);
+    let timer_check = tokio::spawn(measure_timer_delay(event_log.clone()));
+    let load = rig.clone().produce_load(scenario.seed);
     let faults = rig.clone().inject_all(scenario.schedule.clone());
     let (_, ()) = tokio::join!(load, faults);
     sleep(Duration::from_millis(200)).await;
-    lateness.abort();
+    timer_check.abort();
     for gateway in &rig.gateways {
         gateway.kill().await;
     }
     drop(rig);
     let records = event_log.with(std::mem::take);
     let mut violations = check(&site, &records);
-    violations.extend(reported(site.gateways, &paths.folder)?);
+    violations.extend(violations_in_logs(site.gateways, &paths.folder)?);
     Ok(Report { scenario, violations, records })
 }
 
-/// Rules that gateways themselves have seen broken, and their panics, from their logs.
-fn reported(gateways: usize, folder: &Path) -> io::Result<Vec<Violation>> {
+/// The violations and panics that gateways have logged.
+fn violations_in_logs(gateways: usize, folder: &Path) -> io::Result<Vec<Violation>> {
     let mut found = Vec::new();
     for gateway in 0..gateways {
         let log = fs::read_to_string(folder.join(format!("gateway-{gateway}.log")))?;
@@ -148,8 +154,12 @@
     Ok(found)
 }
 
-fn start_files(site: &Site, event_log: &Arc<EventLog>, paths: &RunPaths) -> io::Result<Vec<Arc<Gateway>>> {
-    let one = |index| {
+fn create_gateways(
+    site: &Site,
+    event_log: &Arc<EventLog>,
+    paths: &RunPaths,
+) -> io::Result<Vec<Arc<Gateway>>> {
+    let create = |index| {
         Gateway::new(
             index,
             event_log.clone(),
@@ -158,20 +168,21 @@
             Path::new(&paths.folder),
         )
     };
-    (0..site.gateways).map(|index| one(index).map(Arc::new)).collect()
+    (0..site.gateways).map(|index| create(index).map(Arc::new)).collect()
 }
 
-async fn watch_lateness(event_log: Arc<EventLog>) {
+async fn measure_timer_delay(event_log: Arc<EventLog>) {
     loop {
         let before = event_log.now();
-        sleep(LATENESS_PERIOD).await;
-        let late = event_log.now() - before - LATENESS_PERIOD.as_secs_f64() * 1000.0;
-        event_log.with(|records| records.rig_timer_delay = records.rig_timer_delay.max(late));
+        sleep(TIMER_CHECK_PERIOD).await;
+        let delay = event_log.now() - before - TIMER_CHECK_PERIOD.as_secs_f64() * 1000.0;
+        event_log.with(|records| records.rig_timer_delay = records.rig_timer_delay.max(delay));
     }
 }
 
-/// Waits until all have ended. One that panics ends the run: half a trouble leaves a world that no rule speaks of.
-pub(crate) async fn all_of(mut tasks: tokio::task::JoinSet<()>) {
+/// Waits for all tasks. A panic in one of them is passed on and ends the run, as the rules do not hold when a fault has
+/// been injected only in part.
+pub(crate) async fn join_all(mut tasks: tokio::task::JoinSet<()>) {
     while let Some(ended) = tasks.join_next().await {
         if let Err(error) = ended {
             std::panic::resume_unwind(error.into_panic());
@@ -188,7 +199,7 @@
         Entry { uid: server.uid.clone(), endpoint: server.address(), zone: server.zone, state, boot_ms }
     }
 
-    /// What all wall clocks say.
+    /// The Unix time on the stepped wall clock of all gateways, in milliseconds.
     pub(crate) fn wall_clock(&self) -> i64 {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as i64;
         unix + self.wall_clock_offset.load(Ordering::Relaxed)
@@ -198,7 +209,7 @@
         self.rng.lock().expect("lock not poisoned").rand_u64()
     }
 
-    /// A new server; one with a capacity starts cold.
+    /// Starts a new server; cold if a capacity is given.
     pub(crate) async fn join_server(&self, capacity: Option<f64>) -> Arc<Server> {
         let seed = self.draw();
         let uid = format!("s-{:08x}", seed as u32);
@@ -210,6 +221,7 @@
         server
     }
 
+    /// What the configuration of a gateway must say now.
     pub(crate) fn peers(&self, gateway: usize) -> PeerConfig {
         PeerConfig {
             discovery: self.discovery_addresses.lock().expect("lock not poisoned")[gateway],
@@ -228,7 +240,7 @@
             let rig = self.clone();
             starts.spawn(async move { rig.start(&gateway).await });
         }
-        all_of(starts).await;
+        join_all(starts).await;
     }
 
     pub(crate) fn counter(&self) -> Arc<ProxiedCounter> {
@@ -239,43 +251,43 @@
         self.start_as(gateway, StartMode::Normal).await;
     }
 
-    /// Clients of a gateway that share no connection with any others.
+    /// New clients of a gateway that share no connections with earlier ones.
     pub(crate) fn clients(&self, gateway: &Arc<Gateway>) -> Arc<Clients> {
         let (site, event_log) = (self.site.clone(), self.event_log.clone());
-        Clients::new(gateway.clone(), site, event_log, self.ids.clone(), self.most_leave.clone())
+        Clients::new(gateway.clone(), site, event_log, self.next_id.clone(), self.most_leave.clone())
     }
 
-    async fn load(self: Arc<Self>, seed: u64) {
+    async fn produce_load(self: Arc<Self>, seed: u64) {
         let mut loads = tokio::task::JoinSet::new();
         for gateway in &self.gateways {
             loads.spawn(self.clients(gateway).load(seed.wrapping_mul(1000) + gateway.index as u64));
         }
-        all_of(loads).await;
+        join_all(loads).await;
     }
 
-    /// A trouble whose gateways are all down would come to nothing: a spare one takes its place, if there is one.
-    fn substitute_if_gateways_down(&self, event: &mut ScheduledFault) {
+    /// A fault whose gateways are all down would have no effect: replaces it by a substitute, if one is left.
+    fn substitute_if_gateways_down(&self, scheduled: &mut ScheduledFault) {
         let gateways_down = |fault: &Fault| {
             let gateways = fault.gateways();
             !gateways.is_empty()
                 && gateways.iter().all(|gateway| self.gateways[*gateway].availability().is_none())
         };
         let mut substitutes = self.substitutes.lock().expect("lock not poisoned");
-        while gateways_down(&event.fault) {
+        while gateways_down(&scheduled.fault) {
             let Some(substitute) = substitutes.pop() else { return };
-            event.fault = substitute;
+            scheduled.fault = substitute;
         }
     }
 
     async fn inject_all(self: Arc<Self>, schedule: Vec<ScheduledFault>) {
-        let mut playing = tokio::task::JoinSet::new();
-        for mut event in schedule {
-            sleep(millis((event.at - self.event_log.now()).max(0.0))).await;
-            self.substitute_if_gateways_down(&mut event);
-            self.event_log.add_to_timeline(format!("{:?} for {:.0} ms", event.fault, event.duration));
-            playing.spawn(self.clone().inject(event));
+        let mut faults = tokio::task::JoinSet::new();
+        for mut scheduled in schedule {
+            sleep(millis((scheduled.at - self.event_log.now()).max(0.0))).await;
+            self.substitute_if_gateways_down(&mut scheduled);
+            self.event_log.add_to_timeline(format!("{:?} for {:.0} ms", scheduled.fault, scheduled.duration));
+            faults.spawn(self.clone().inject(scheduled));
         }
-        let all = all_of(playing);
+        let all = join_all(faults);
         let _ = timeout(SETTLE + millis(self.site.load_duration), all).await;
     }
 }
