--- a/fault-soak/src/client.rs
+++ b/fault-soak/src/client.rs
@@ -90,7 +90,7 @@
         let mut rng = Rand64::new(u128::from(seed));
         let mut open = tokio::task::JoinSet::new();
         while self.event_log.now() < self.site.load_duration {
-            let gap = -(1.0 - rng.rand_float()).ln() / self.site.rate;
+            let gap = -(1.0 - rng.rand_float()).ln() / self.site.request_rate;
             sleep(Duration::from_secs_f64(gap)).await;
             while open.try_join_next().is_some() {}
             let client = self.clone();
--- a/fault-soak/src/scenario.rs
+++ b/fault-soak/src/scenario.rs
@@ -225,7 +225,7 @@
             servers,
             load_duration,
             mode: if rng.0.rand_float() < 0.7 { RegistryMode::Pushed } else { RegistryMode::OnRequest },
-            rate: rng.uniform(20.0, 35.0),
+            request_rate: rng.uniform(20.0, 35.0),
             classes,
             dedup_window: rng.uniform(600.0, 4000.0),
             drain_grace: rng.uniform(800.0, 2000.0),
--- a/fault-soak/src/site.rs
+++ b/fault-soak/src/site.rs
@@ -1,4 +1,4 @@
-//! The parameters of one site: gateways, servers, classes, plans, and the settings that gateways get.
+//! The parameters of the simulated site: gateways, servers, classes and plans, and the gateways' settings made of them.
 
 use crate::discovery::RegistryMode;
 use crate::event_log::{Millis, Semantics};
@@ -12,35 +12,35 @@
     pub name: &'static str,
     /// How often a request may take effect.
     pub semantics: Semantics,
-    /// How long a client waits at the most.
+    /// The longest time that a client waits for a response.
     pub deadline: Millis,
 }
 
 /// A plan of customers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Plan {
-    /// A quota that nobody reaches.
+    /// A quota that no customer reaches.
     Wide,
-    /// A quota that customers press against, held by the shared counter as there is no meter.
+    /// A quota that its customers would exceed. Without a meter, the shared counter enforces it.
     Quota,
-    /// A cap on attempts out at once.
+    /// A limit on concurrent attempts.
     Capped,
-    /// A hard ceiling.
+    /// A hard limit on the rate, enforced over all gateways.
     Ceiling,
 }
 
-/// All plans, in the order of the settings.
+/// All plans, in the order in which the settings list them.
 pub const PLANS: [Plan; 4] = [Plan::Wide, Plan::Quota, Plan::Capped, Plan::Ceiling];
 
-/// Figures of the ceiling: units a second, the store's size, and the slack.
+/// The rate of the ceiling's token bucket, in units per second.
 pub const CEILING_RATE: f64 = 12.0;
-/// The ceiling's store.
+/// The depth of the ceiling's token bucket, in units.
 pub const CEILING_DEPTH: f64 = 30.0;
-/// How far it may be overdrawn.
+/// How many units the ceiling may be exceeded by.
 pub const CEILING_TOLERANCE: f64 = 3.0;
 
 impl Plan {
-    /// Its name.
+    /// The name in the settings and in the `Plan` header.
     pub fn name(self) -> &'static str {
         match self {
             Plan::Wide => "wide",
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Units a second that its customers may use; 0 where nothing counts them.
+    /// Units per second that a customer may use; 0 if units are not counted.
     pub fn rate(self, quota: Quota) -> f64 {
         match self {
             Plan::Wide | Plan::Ceiling => 1000.0,
@@ -60,14 +60,14 @@
     }
 
     fn settings(self, quota: Quota) -> Value {
-        let (store, open, ceiling) = match self {
+        let (burst, concurrency, ceiling) = match self {
             Plan::Wide => (2000.0, 0, (0.0, 0.0, 0.0)),
             Plan::Quota => (quota.burst, 0, (0.0, 0.0, 0.0)),
             Plan::Capped => (0.0, 6, (0.0, 0.0, 0.0)),
             Plan::Ceiling => (2000.0, 0, (CEILING_RATE, CEILING_DEPTH, CEILING_TOLERANCE)),
         };
         let rate = self.rate(quota);
-        json!({"name": self.name(), "unitsPerS": rate, "storeSize": store, "concurrency": open, "price": 1.0,
+        json!({"name": self.name(), "unitsPerS": rate, "storeSize": burst, "concurrency": concurrency, "price": 1.0,
                "excessWorth": 0.0, "overrunCost": if self == Plan::Quota { 1.0 } else { 0.0 },
                "neverOverRate": ceiling.0, "capDepth": ceiling.1, "tolerance": ceiling.2})
     }
@@ -76,60 +76,60 @@
 /// The quota of a customer of [`Plan::Quota`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Quota {
-    /// Units a second.
+    /// Units per second.
     pub rate: f64,
-    /// Units that may be saved up.
+    /// The largest number of units that may be saved up.
     pub burst: f64,
 }
 
-/// Customers of each plan.
+/// The number of customers of each plan.
 pub const CUSTOMERS_PER_PLAN: u64 = 4;
-/// The part of the requests that falls on all plans alike; the rest is of [`Plan::Wide`].
+/// The share of requests that is spread evenly over all plans; the rest belongs to [`Plan::Wide`].
 pub const ALL_PLANS_SHARE: f64 = 0.4;
 
-/// The parameters of one site.
+/// The parameters of the site.
 #[derive(Debug, Clone)]
 pub struct Site {
-    /// Gateways.
+    /// The number of gateways.
     pub gateways: usize,
-    /// Servers at the start.
+    /// The number of servers at the start.
     pub servers: usize,
     /// How long the load lasts.
     pub load_duration: Millis,
-    /// Who answers calls for the list.
+    /// How gateways get the server list.
     pub mode: RegistryMode,
-    /// Requests a second at each gateway.
-    pub rate: f64,
-    /// The classes.
+    /// Requests per second at each gateway.
+    pub request_rate: f64,
+    /// The classes of requests.
     pub classes: Vec<Class>,
-    /// How long servers drop repeats of a keyed request.
+    /// How long servers drop repeats of a request with an idempotency key.
     pub dedup_window: Millis,
-    /// Sends to a draining server must stop within this.
+    /// A gateway must stop sending to a draining server within this.
     pub drain_grace: Millis,
-    /// Descriptors of a gateway.
+    /// The limit on a gateway's open sockets (`limits.sockets`), and so on its file descriptors.
     pub fd_limit: usize,
-    /// Whether a second attempt may be out beside the first.
+    /// Whether a gateway may send hedged attempts.
     pub may_duplicate: bool,
-    /// Whether attempts may be cancelled.
+    /// Whether a gateway may cancel attempts.
     pub may_cancel: bool,
-    /// A server starts at this share of its capacity.
+    /// The share of its capacity that a server has at its start.
     pub cold_from: f64,
-    /// It is warm after this.
+    /// How long a server takes from its start to its full capacity.
     pub cold_for: Millis,
-    /// It falls when it gets more than this multiple of what it can do ...
+    /// A server fails when it receives more than this multiple of its present capacity ...
     pub overload_multiple: f64,
-    /// ... in this time.
+    /// ... over this time.
     pub overload_window: Millis,
-    /// The meter of use, if there is one; else quotas are held by the counter.
+    /// The usage meter, if there is one; without it the shared counter enforces quotas.
     pub meter: Option<MeterSettings>,
-    /// What customers who press against a quota may use.
+    /// The quota of customers of [`Plan::Quota`].
     pub quota: Quota,
-    /// Areas over which servers and gateways are spread.
+    /// The number of zones over which servers and gateways are spread.
     pub zones: usize,
 }
 
 impl Site {
-    /// The settings as a gateway gets them.
+    /// The settings for the configuration of the gateway with this ordinal.
     pub fn settings(&self, ordinal: usize) -> Value {
         let classes: Vec<Value> = self
             .classes
@@ -159,24 +159,26 @@
         })
     }
 
-    /// Requests a second that a customer of [`Plan::Quota`] offers to all gateways together.
+    /// Requests per second that a customer of [`Plan::Quota`] sends to all gateways together.
     pub fn offered_per_quota_customer(&self) -> f64 {
-        self.rate * self.gateways as f64 * ALL_PLANS_SHARE / PLANS.len() as f64 / CUSTOMERS_PER_PLAN as f64
+        self.request_rate * self.gateways as f64 * ALL_PLANS_SHARE
+            / PLANS.len() as f64
+            / CUSTOMERS_PER_PLAN as f64
     }
 
-    /// Requests that a warm server handles in a second: the offered load fills part of the fleet.
+    /// Requests per second that a warm server can handle, such that the load takes 70 % of the servers' capacity.
     pub fn capacity(&self) -> f64 {
         const OFFERED_SHARE: f64 = 0.7;
-        self.rate * self.gateways as f64 / self.servers as f64 / OFFERED_SHARE
+        self.request_rate * self.gateways as f64 / self.servers as f64 / OFFERED_SHARE
     }
 
-    /// The longest deadline.
+    /// The longest deadline of all classes.
     pub fn longest_deadline(&self) -> Millis {
         self.classes.iter().map(|class| class.deadline).fold(0.0, f64::max)
     }
 }
 
-/// The name of an area, as lists and settings have it.
+/// The name of a zone in the server list and the settings.
 pub fn zone_name(zone: usize) -> String {
     char::from(b'a' + zone as u8).to_string()
 }
