--- a/fault-soak/src/main.rs
+++ b/fault-soak/src/main.rs
@@ -1,4 +1,4 @@
-//! The command: plays seeds one after another and prints what broke.
+//! The command: runs the scenarios of several seeds one after another and prints the violations.
 
 use clap::Parser;
 use fault_soak::event_log::Outcome;
@@ -10,42 +10,42 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Plays randomized faults against real gateway processes and checks the rules of the service.
+/// Injects randomized faults into runs of real gateway processes and checks the rules of the service.
 #[derive(Debug, Parser)]
 struct Arguments {
-    /// The gateway's program.
+    /// The gateway's executable.
     #[arg(long, default_value = "target/release/brassport")]
     gateway: PathBuf,
     /// The first seed.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How many seeds are played.
+    /// The number of seeds to run, counted up from the first.
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// Gateway processes.
+    /// The number of gateway processes.
     #[arg(long, default_value_t = 10)]
     gateways: usize,
-    /// Seconds of load.
+    /// The duration of the load in seconds.
     #[arg(long, default_value_t = 12.0)]
     seconds: f64,
-    /// Troubles for each second of load.
+    /// Faults per second of load.
     #[arg(long, default_value_t = FAULTS_PER_SECOND)]
     density: f64,
-    /// Draws from the wide scenarios: a meter, two areas, long quiet starts, and more kinds of trouble.
+    /// Draws wide scenarios: with a meter, two zones, long quiet starts, and more kinds of faults.
     #[arg(long)]
     wide: bool,
-    /// Draws from the hard scenarios: the wide ones, with crowds that connect to gateways that are held up, and with
-    /// a further trouble for each that would come to nothing.
+    /// Draws hard scenarios: wide ones with bursts of connections to paused gateways, and with substitutes for faults
+    /// that would have no effect.
     #[arg(long)]
     hard: bool,
-    /// The folder for configurations and logs.
+    /// The folder for configurations, logs and control files.
     #[arg(long, default_value = "target/fault-soak")]
     folder: PathBuf,
-    /// Violations of each seed that are printed in full.
-    #[arg(long, default_value_t = 3)]
-    shown: usize,
-    /// Prints the troubles of each seed, and the requests whose connection was closed on them.
-    #[arg(long)]
+    /// The number of violations to print in full for each seed.
+    #[arg(long = "shown", default_value_t = 3)]
+    printed_violations: usize,
+    /// Prints the injected faults of each seed, and the requests whose connection closed before a response.
+    #[arg(long = "troubles")]
     print_faults: bool,
 }
 
@@ -55,11 +55,11 @@
     let runtime = match runtime {
         Ok(runtime) => runtime,
         Err(error) => {
-            eprintln!("fault-soak: cannot start: {error}");
+            eprintln!("fault-soak: cannot start the runtime: {error}");
             return ExitCode::FAILURE;
         }
     };
-    match runtime.block_on(play_seeds(&arguments)) {
+    match runtime.block_on(run_seeds(&arguments)) {
         Ok(0) => ExitCode::SUCCESS,
         Ok(_) => ExitCode::FAILURE,
         Err(error) => {
@@ -69,8 +69,8 @@
     }
 }
 
-/// Returns how many seeds broke a rule.
-async fn play_seeds(arguments: &Arguments) -> std::io::Result<usize> {
+/// Runs all seeds and returns how many of them broke a rule.
+async fn run_seeds(arguments: &Arguments) -> std::io::Result<usize> {
     fs::create_dir_all(&arguments.folder)?;
     let shim = shim::build(&arguments.folder)?;
     let mut broken = 0;
@@ -85,32 +85,32 @@
         };
         let scenario = draw(seed, arguments.gateways, arguments.seconds * 1000.0, arguments.density);
         let report = run_scenario(scenario, &paths).await?;
-        print(&report, arguments);
+        print_report(&report, arguments);
         broken += usize::from(!report.violations.is_empty());
     }
     println!("{broken} of {} seeds broke a rule", arguments.seeds);
     Ok(broken)
 }
 
-fn print(report: &Report, arguments: &Arguments) {
+fn print_report(report: &Report, arguments: &Arguments) {
     let records = &report.records;
-    let mut endings: BTreeMap<String, usize> = BTreeMap::new();
+    let mut outcomes: BTreeMap<String, usize> = BTreeMap::new();
     for request in records.requests.values() {
         let name = match (&request.outcome, request.left_at) {
             (_, Some(_)) => "left".to_string(),
             (Some((Outcome::Response { status, .. }, _)), None) => status.to_string(),
             (Some((Outcome::Closed { .. }, _)), None) => "closed".to_string(),
-            (Some((Outcome::NoResponse, _)), None) => "silence".to_string(),
+            (Some((Outcome::NoResponse, _)), None) => "no response".to_string(),
             (None, None) => "open".to_string(),
         };
-        *endings.entry(name).or_default() += 1;
+        *outcomes.entry(name).or_default() += 1;
     }
     let mut rules: BTreeMap<_, usize> = BTreeMap::new();
     for violation in &report.violations {
         *rules.entry(violation.rule).or_default() += 1;
     }
     println!(
-        "seed {}: {} requests {endings:?}, {} attempts, rig at most {:.0} ms late, broken {rules:?}",
+        "seed {}: {} requests {outcomes:?}, {} attempts, rig timer at most {:.0} ms late, rules broken {rules:?}",
         report.scenario.seed,
         records.requests.len(),
         records.attempts.len(),
@@ -121,16 +121,16 @@
             "  mode {:?}, drain grace {:.0} ms",
             report.scenario.site.mode, report.scenario.site.drain_grace
         );
-        for note in &records.timeline {
-            println!("  {:6.0} ms {}", note.at, note.text);
+        for entry in &records.timeline {
+            println!("  {:6.0} ms {}", entry.at, entry.text);
         }
     }
     if arguments.print_faults {
         let closed = records.requests.values();
         let closed = closed.filter(|request| matches!(request.outcome, Some((Outcome::Closed { .. }, _))));
-        closed.for_each(|request| println!("  closed: {request:?}"));
+        closed.for_each(|request| println!("  closed without a response: {request:?}"));
     }
-    for violation in report.violations.iter().take(arguments.shown) {
+    for violation in report.violations.iter().take(arguments.printed_violations) {
         println!("  {violation}");
     }
 }
