--- a/fault-soak/src/run.rs
+++ b/fault-soak/src/run.rs
@@ -1,18 +1,18 @@
-//! One run: starts everything, plays the troubles, and hands over what the log holds.
+//! One run: starts the gateways and the stand-ins, produces load, injects the faults, and checks the rules.
 
 use crate::client::Clients;
 use crate::counter::Counter;
 use crate::discovery::{Discovery, Entry, State};
-use crate::gateway::{Gateway, Told};
+use crate::event_log::{EventLog, Millis, Records};
+use crate::gateway::{Gateway, PeerConfig};
+use crate::injection::StartMode;
 use crate::invariants::{check, Rule, Violation};
-use crate::ledger::{Ledger, Millis, Records};
 use crate::meter::Meter;
 use crate::proxy::Proxy;
-use crate::scenario::{Event, Scenario, Trouble};
+use crate::scenario::{Fault, Scenario, ScheduledFault};
 use crate::server::{Server, Usage};
 use crate::shim::Faults;
 use crate::site::Site;
-use crate::troubles::Start;
 use oorandom::Rand64;
 use std::net::Ipv4Addr;
 use std::path::{Path, PathBuf};
@@ -22,118 +22,124 @@
 use std::{fs, io};
 use tokio::time::{sleep, timeout};
 
-/// The rig's own timer is looked at this often.
-const LATENESS_PERIOD: Duration = Duration::from_millis(10);
-/// After the load the troubles are over and what is in hand is answered within this.
+/// How often the delay of the rig's own timer is measured.
+const TIMER_CHECK_PERIOD: Duration = Duration::from_millis(10);
+/// Faults end and open requests are answered within this after the load; the run waits no longer for faults.
 const SETTLE: Duration = Duration::from_secs(9);
-/// Where a run finds what it starts and leaves its files.
+
+/// The files that a run uses.
 #[derive(Debug, Clone)]
-pub struct Setup {
-    /// The gateway's program.
+pub struct RunPaths {
+    /// The gateway's executable.
     pub program: PathBuf,
-    /// The preloaded library, if any.
+    /// The fault shim to preload into gateways, if any.
     pub shim: Option<PathBuf>,
-    /// The folder for configurations and logs.
+    /// The folder for configurations, logs and control files.
     pub folder: PathBuf,
 }
 
-/// What a run showed.
+/// The result of a run.
 #[derive(Debug)]
 pub struct Report {
-    /// The scenario that was played.
+    /// The scenario.
     pub scenario: Scenario,
-    /// The rules that were broken.
+    /// The violations of rules.
     pub violations: Vec<Violation>,
-    /// The log.
+    /// The records of the event log.
     pub records: Records,
 }
 
-/// All that a run has going.
-pub(crate) struct World {
+/// The test rig of one run: the gateways, their stand-ins and the state of the injected faults.
+pub(crate) struct Rig {
     pub(crate) site: Arc<Site>,
-    pub(crate) ledger: Arc<Ledger>,
+    pub(crate) event_log: Arc<EventLog>,
     pub(crate) gateways: Vec<Arc<Gateway>>,
-    /// Servers by the order in which they joined; those that went stay here.
+    /// Servers in the order in which they joined, with those that were removed.
     pub(crate) servers: Mutex<Vec<(Arc<Server>, State)>>,
     pub(crate) discovery: Arc<Discovery>,
     pub(crate) usage: Option<Usage>,
-    /// Where the counter is now.
-    pub(crate) counter: Mutex<Arc<PlacedCounter>>,
+    /// The current counter.
+    pub(crate) counter: Mutex<Arc<ProxiedCounter>>,
+    /// The sum of the steps of the wall clock, in milliseconds.
     pub(crate) wall_clock_offset: AtomicI64,
     pub(crate) rng: Mutex<Rand64>,
-    pub(crate) faults: Mutex<Vec<Faults>>,
-    pub(crate) leaving: Arc<AtomicBool>,
+    /// System call faults by gateway.
+    pub(crate) syscall_faults: Mutex<Vec<Faults>>,
+    /// Most clients leave early while this is set.
+    pub(crate) most_leave: Arc<AtomicBool>,
+    /// The current address of discovery by gateway.
     pub(crate) discovery_addresses: Mutex<Vec<std::net::SocketAddr>>,
-    /// The last id that a client gave a request.
-    pub(crate) ids: Arc<AtomicU64>,
-    spares: Mutex<Vec<Trouble>>,
+    /// The id of the next request.
+    pub(crate) next_id: Arc<AtomicU64>,
+    /// Faults that are left to replace ones without an effect.
+    substitutes: Mutex<Vec<Fault>>,
 }
 
-/// A counter and the line to it.
-pub(crate) struct PlacedCounter {
+/// A counter and the fault proxy in front of it.
+pub(crate) struct ProxiedCounter {
     pub(crate) counter: Counter,
-    pub(crate) line: Proxy,
+    pub(crate) proxy: Proxy,
 }
 
-impl PlacedCounter {
-    pub(crate) async fn start() -> Arc<PlacedCounter> {
+impl ProxiedCounter {
+    pub(crate) async fn start() -> Arc<ProxiedCounter> {
         let counter = Counter::start().await;
-        let line = Proxy::start(Ipv4Addr::new(127, 88, 0, 5), Some(counter.address)).await;
-        Arc::new(PlacedCounter { counter, line })
+        let proxy = Proxy::start(Ipv4Addr::new(127, 88, 0, 5), Some(counter.address)).await;
+        Arc::new(ProxiedCounter { counter, proxy })
     }
 }
 
-/// Plays one scenario.
+/// Runs a scenario and checks the rules of the service on its event log.
 ///
 /// # Errors
-/// What the system says of the run's files.
-pub async fn play(scenario: Scenario, setup: &Setup) -> io::Result<Report> {
+/// If one of the run's files cannot be written or read.
+pub async fn run_scenario(scenario: Scenario, paths: &RunPaths) -> io::Result<Report> {
     let site = Arc::new(scenario.site.clone());
-    let ledger = Arc::new(Ledger::new(site.gateways));
-    let discovery = Discovery::new(ledger.clone(), site.mode, site.gateways);
-    let counter = Mutex::new(PlacedCounter::start().await);
+    let event_log = Arc::new(EventLog::new(site.gateways));
+    let discovery = Discovery::new(event_log.clone(), site.mode, site.gateways);
+    let counter = Mutex::new(ProxiedCounter::start().await);
     let meter = site.meter.map(|settings| Arc::new(Meter::new(settings)));
     let usage = meter.map(|meter| Usage { meter, site: site.clone() });
-    let gateways = start_files(&site, &ledger, setup)?;
-    let world = Arc::new(World {
+    let gateways = create_gateways(&site, &event_log, paths)?;
+    let rig = Arc::new(Rig {
         servers: Mutex::new(Vec::new()),
         wall_clock_offset: AtomicI64::new(0),
         rng: Mutex::new(Rand64::new(u128::from(scenario.seed) << 8)),
-        faults: Mutex::new(vec![Faults::default(); site.gateways]),
-        leaving: Arc::new(AtomicBool::new(false)),
+        syscall_faults: Mutex::new(vec![Faults::default(); site.gateways]),
+        most_leave: Arc::new(AtomicBool::new(false)),
         discovery_addresses: Mutex::new(Vec::new()),
-        ids: Arc::new(AtomicU64::new(1)),
-        spares: Mutex::new(scenario.spares.clone()),
+        next_id: Arc::new(AtomicU64::new(1)),
+        substitutes: Mutex::new(scenario.substitutes.clone()),
         site: site.clone(),
-        ledger: ledger.clone(),
+        event_log: event_log.clone(),
         gateways,
         discovery,
         usage,
         counter,
     });
     for _ in 0..site.servers {
-        let server = world.join_server(None).await;
-        world.discovery.seed(world.entry(&server, State::Ready, 0));
+        let server = rig.join_server(None).await;
+        rig.discovery.publish_at_start(rig.entry(&server, State::Ready, 0));
     }
-    world.start_gateways().await;
-    let lateness = tokio::spawn(watch_lateness(ledger.clone()));
-    let load = world.clone().load(scenario.seed);
-    let troubles = world.clone().play_events(scenario.events.clone());
-    let (_, ()) = tokio::join!(load, troubles);
+    rig.start_gateways().await;
+    let timer_check = tokio::spawn(measure_timer_delay(event_log.clone()));
+    let load = rig.clone().produce_load(scenario.seed);
+    let faults = rig.clone().inject_all(scenario.schedule.clone());
+    let (_, ()) = tokio::join!(load, faults);
     sleep(Duration::from_millis(200)).await;
-    lateness.abort();
-    for gateway in &world.gateways {
+    timer_check.abort();
+    for gateway in &rig.gateways {
         gateway.kill().await;
     }
-    drop(world);
-    let records = ledger.with(std::mem::take);
+    drop(rig);
+    let records = event_log.with(std::mem::take);
     let mut violations = check(&site, &records);
-    violations.extend(reported(site.gateways, &setup.folder)?);
+    violations.extend(violations_in_logs(site.gateways, &paths.folder)?);
     Ok(Report { scenario, violations, records })
 }
 
-/// Rules that gateways themselves have seen broken, and their panics, from their logs.
-fn reported(gateways: usize, folder: &Path) -> io::Result<Vec<Violation>> {
+/// The violations and panics that gateways have logged.
+fn violations_in_logs(gateways: usize, folder: &Path) -> io::Result<Vec<Violation>> {
     let mut found = Vec::new();
     for gateway in 0..gateways {
         let log = fs::read_to_string(folder.join(format!("gateway-{gateway}.log")))?;
@@ -148,24 +154,35 @@
     Ok(found)
 }
 
-fn start_files(site: &Site, ledger: &Arc<Ledger>, setup: &Setup) -> io::Result<Vec<Arc<Gateway>>> {
-    let one = |index| {
-        Gateway::new(index, ledger.clone(), &setup.program, setup.shim.as_deref(), Path::new(&setup.folder))
+fn create_gateways(
+    site: &Site,
+    event_log: &Arc<EventLog>,
+    paths: &RunPaths,
+) -> io::Result<Vec<Arc<Gateway>>> {
+    let create = |index| {
+        Gateway::new(
+            index,
+            event_log.clone(),
+            &paths.program,
+            paths.shim.as_deref(),
+            Path::new(&paths.folder),
+        )
     };
-    (0..site.gateways).map(|index| one(index).map(Arc::new)).collect()
+    (0..site.gateways).map(|index| create(index).map(Arc::new)).collect()
 }
 
-async fn watch_lateness(ledger: Arc<Ledger>) {
+async fn measure_timer_delay(event_log: Arc<EventLog>) {
     loop {
-        let before = ledger.now();
-        sleep(LATENESS_PERIOD).await;
-        let late = ledger.now() - before - LATENESS_PERIOD.as_secs_f64() * 1000.0;
-        ledger.with(|records| records.rig_late = records.rig_late.max(late));
+        let before = event_log.now();
+        sleep(TIMER_CHECK_PERIOD).await;
+        let delay = event_log.now() - before - TIMER_CHECK_PERIOD.as_secs_f64() * 1000.0;
+        event_log.with(|records| records.rig_timer_delay = records.rig_timer_delay.max(delay));
     }
 }
 
-/// Waits until all have ended. One that panics ends the run: half a trouble leaves a world that no rule speaks of.
-pub(crate) async fn all_of(mut tasks: tokio::task::JoinSet<()>) {
+/// Waits for all tasks. A panic in one of them is passed on and ends the run, as the rules do not hold when a fault has
+/// been injected only in part.
+pub(crate) async fn join_all(mut tasks: tokio::task::JoinSet<()>) {
     while let Some(ended) = tasks.join_next().await {
         if let Err(error) = ended {
             std::panic::resume_unwind(error.into_panic());
@@ -177,37 +194,38 @@
     Duration::from_secs_f64(span / 1000.0)
 }
 
-impl World {
+impl Rig {
     pub(crate) fn entry(&self, server: &Server, state: State, boot_ms: i64) -> Entry {
-        Entry { uid: server.uid.clone(), endpoint: server.address(), area: server.area, state, boot_ms }
+        Entry { uid: server.uid.clone(), endpoint: server.address(), zone: server.zone, state, boot_ms }
     }
 
-    /// What all wall clocks say.
+    /// The Unix time on the stepped wall clock of all gateways, in milliseconds.
     pub(crate) fn wall_clock(&self) -> i64 {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as i64;
         unix + self.wall_clock_offset.load(Ordering::Relaxed)
     }
 
     pub(crate) fn draw(&self) -> u64 {
-        self.rng.lock().expect("no one panics while holding it").rand_u64()
+        self.rng.lock().expect("lock not poisoned").rand_u64()
     }
 
-    /// A new server; one with a capacity starts cold.
+    /// Starts a new server; cold if a capacity is given.
     pub(crate) async fn join_server(&self, capacity: Option<f64>) -> Arc<Server> {
         let seed = self.draw();
         let uid = format!("s-{:08x}", seed as u32);
-        let area = self.servers.lock().expect("no one panics while holding it").len() % self.site.areas;
-        let server = Server::new(uid, area, self.ledger.clone(), self.usage.clone(), seed).await;
+        let zone = self.servers.lock().expect("lock not poisoned").len() % self.site.zones;
+        let server = Server::new(uid, zone, self.event_log.clone(), self.usage.clone(), seed).await;
         let server = Arc::new(server);
         server.start(capacity).await;
-        self.servers.lock().expect("no one panics while holding it").push((server.clone(), State::Ready));
+        self.servers.lock().expect("lock not poisoned").push((server.clone(), State::Ready));
         server
     }
 
-    pub(crate) fn told(&self, gateway: usize) -> Told {
-        Told {
-            discovery: self.discovery_addresses.lock().expect("no one panics while holding it")[gateway],
-            counter: self.counter().line.address,
+    /// What the configuration of a gateway must say now.
+    pub(crate) fn peers(&self, gateway: usize) -> PeerConfig {
+        PeerConfig {
+            discovery: self.discovery_addresses.lock().expect("lock not poisoned")[gateway],
+            counter: self.counter().proxy.address,
             known: self.discovery.list(gateway),
         }
     }
@@ -215,60 +233,61 @@
     async fn start_gateways(self: &Arc<Self>) {
         for gateway in 0..self.gateways.len() {
             let address = self.discovery.listen(gateway).await;
-            self.discovery_addresses.lock().expect("no one panics while holding it").push(address);
+            self.discovery_addresses.lock().expect("lock not poisoned").push(address);
         }
         let mut starts = tokio::task::JoinSet::new();
         for gateway in self.gateways.clone() {
-            let world = self.clone();
-            starts.spawn(async move { world.start(&gateway).await });
+            let rig = self.clone();
+            starts.spawn(async move { rig.start(&gateway).await });
         }
-        all_of(starts).await;
+        join_all(starts).await;
     }
 
-    pub(crate) fn counter(&self) -> Arc<PlacedCounter> {
-        self.counter.lock().expect("no one panics while holding it").clone()
+    pub(crate) fn counter(&self) -> Arc<ProxiedCounter> {
+        self.counter.lock().expect("lock not poisoned").clone()
     }
 
     pub(crate) async fn start(&self, gateway: &Arc<Gateway>) {
-        self.start_as(gateway, Start::Usual).await;
+        self.start_as(gateway, StartMode::Normal).await;
     }
 
-    /// Clients of a gateway that share no connection with any others.
+    /// New clients of a gateway that share no connections with earlier ones.
     pub(crate) fn clients(&self, gateway: &Arc<Gateway>) -> Arc<Clients> {
-        let (site, ledger) = (self.site.clone(), self.ledger.clone());
-        Clients::new(gateway.clone(), site, ledger, self.ids.clone(), self.leaving.clone())
+        let (site, event_log) = (self.site.clone(), self.event_log.clone());
+        Clients::new(gateway.clone(), site, event_log, self.next_id.clone(), self.most_leave.clone())
     }
 
-    async fn load(self: Arc<Self>, seed: u64) {
+    async fn produce_load(self: Arc<Self>, seed: u64) {
         let mut loads = tokio::task::JoinSet::new();
         for gateway in &self.gateways {
             loads.spawn(self.clients(gateway).load(seed.wrapping_mul(1000) + gateway.index as u64));
         }
-        all_of(loads).await;
+        join_all(loads).await;
     }
 
-    /// A trouble whose gateways are all down would come to nothing: a spare one takes its place, if there is one.
-    fn replace_if_moot(&self, event: &mut Event) {
-        let is_moot = |trouble: &Trouble| {
-            let gateways = trouble.gateways();
-            !gateways.is_empty() && gateways.iter().all(|gateway| self.gateways[*gateway].intake().is_none())
+    /// A fault whose gateways are all down would have no effect: replaces it by a substitute, if one is left.
+    fn substitute_if_gateways_down(&self, scheduled: &mut ScheduledFault) {
+        let gateways_down = |fault: &Fault| {
+            let gateways = fault.gateways();
+            !gateways.is_empty()
+                && gateways.iter().all(|gateway| self.gateways[*gateway].availability().is_none())
         };
-        let mut spares = self.spares.lock().expect("no one panics while holding it");
-        while is_moot(&event.trouble) {
-            let Some(spare) = spares.pop() else { return };
-            event.trouble = spare;
+        let mut substitutes = self.substitutes.lock().expect("lock not poisoned");
+        while gateways_down(&scheduled.fault) {
+            let Some(substitute) = substitutes.pop() else { return };
+            scheduled.fault = substitute;
         }
     }
 
-    async fn play_events(self: Arc<Self>, events: Vec<Event>) {
-        let mut playing = tokio::task::JoinSet::new();
-        for mut event in events {
-            sleep(millis((event.at - self.ledger.now()).max(0.0))).await;
-            self.replace_if_moot(&mut event);
-            self.ledger.note(format!("{:?} for {:.0} ms", event.trouble, event.lasts));
-            playing.spawn(self.clone().one(event));
+    async fn inject_all(self: Arc<Self>, schedule: Vec<ScheduledFault>) {
+        let mut faults = tokio::task::JoinSet::new();
+        for mut scheduled in schedule {
+            sleep(millis((scheduled.at - self.event_log.now()).max(0.0))).await;
+            self.substitute_if_gateways_down(&mut scheduled);
+            self.event_log.add_to_timeline(format!("{:?} for {:.0} ms", scheduled.fault, scheduled.duration));
+            faults.spawn(self.clone().inject(scheduled));
         }
-        let all = all_of(playing);
-        let _ = timeout(SETTLE + millis(self.site.span), all).await;
+        let all = join_all(faults);
+        let _ = timeout(SETTLE + millis(self.site.load_duration), all).await;
     }
 }
