--- a/fault-soak/src/gateway.rs
+++ b/fault-soak/src/gateway.rs
@@ -48,6 +48,8 @@
     config: PathBuf,
     log: PathBuf,
     state: Mutex<Process>,
+    /// Held while the configuration is replaced, as a reload and a restart share the name of the temporary file.
+    replacing_config: Mutex<()>,
     /// Held by whoever ends it and starts it again.
     pub restarting: tokio::sync::Mutex<()>,
     /// Held by whoever has stopped it.
@@ -122,6 +124,7 @@
             config: folder.join(format!("gateway-config-{index}.json")),
             log,
             state: Mutex::new(Process::default()),
+            replacing_config: Mutex::new(()),
             restarting: tokio::sync::Mutex::new(()),
             pausing: tokio::sync::Mutex::new(()),
             ended: watch::Sender::new(0),
@@ -146,6 +149,7 @@
 
     /// Writes its configuration and puts it into place at once.
     pub fn configure(&self, site: &Site, peers: &PeerConfig) {
+        let _replacing = self.replacing_config.lock().expect("lock not poisoned");
         let half_written = self.config.with_extension("new");
         fs::write(&half_written, self.configuration(site, peers)).expect("the folder takes files");
         fs::rename(&half_written, &self.config).expect("the folder takes files");
