--- a/src/bin/brassport/clock.rs
+++ b/src/bin/brassport/clock.rs
@@ -56,13 +56,13 @@
     }
 
     /// A moment of the module's time as the runtime's.
-    pub fn instant(&self, at: Millis) -> Instant {
+    pub fn to_instant(&self, at: Millis) -> Instant {
         let since = Duration::try_from_secs_f64((at - self.start_time) / 1000.0).unwrap_or_default();
         self.start.checked_add(since).unwrap_or_else(Instant::now)
     }
 
     /// Looks at the wall clock; if it was stepped, tells how far it is ahead of the module's clock now.
-    pub fn step(&self) -> Option<Millis> {
+    pub fn detect_step(&self) -> Option<Millis> {
         let now = self.now();
         if now < self.sampled.get() + SAMPLE_PERIOD {
             return None;
@@ -89,7 +89,7 @@
     /// A moment before all that this clock has watched is placed at the first moment that it has: how far before
     /// it lay is what an unwatched wall clock says, which a step makes wrong by any amount, and nothing that a
     /// new process is told shows such a step.
-    pub fn time_of(&self, wall: Millis) -> Millis {
+    pub fn module_time_of(&self, wall: Millis) -> Millis {
         let now = self.now();
         let segments = self.segments.borrow();
         let fits = segments.iter().rev().find_map(|segment| {
@@ -123,7 +123,7 @@
             let clock = stepped_a_second_ago(step);
             let now = clock.now();
             for (age, told) in [(500.0, step), (30_000.0, 0.0)] {
-                let at = clock.time_of(now - age + told);
+                let at = clock.module_time_of(now - age + told);
                 assert!(
                     (at - (now - age)).abs() < 1.0,
                     "step {step}, age {age}: {} ms off",
@@ -138,8 +138,8 @@
         // 3.5 s before a step back by 4 s the clock showed what it shows again 0.5 s after it.
         let clock = stepped_a_second_ago(-4000.0);
         let now = clock.now();
-        assert!((clock.time_of(now - 500.0 - 4000.0) - (now - 500.0)).abs() < 1.0);
-        assert!(clock.time_of(now + 60_000.0) <= clock.now());
+        assert!((clock.module_time_of(now - 500.0 - 4000.0) - (now - 500.0)).abs() < 1.0);
+        assert!(clock.module_time_of(now + 60_000.0) <= clock.now());
     }
 
     #[test]
@@ -147,7 +147,7 @@
         for step in [-3_600_000.0, -4000.0, 4000.0, 3_600_000.0] {
             let clock = stepped_a_second_ago(step);
             for age in [60_100.0, 70_000.0, 90_000_000.0] {
-                let at = clock.time_of(clock.now() - age);
+                let at = clock.module_time_of(clock.now() - age);
                 assert!(
                     at >= clock.start_time,
                     "step {step}, age {age}: {} ms too early",
--- a/src/bin/brassport/counter.rs
+++ b/src/bin/brassport/counter.rs
@@ -38,9 +38,9 @@
 
 /// What the line to the counter tells.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Report {
+pub enum CounterEvent {
     /// A call ended.
-    Ended { key: CounterKey, result: AddResult },
+    CallEnded { key: CounterKey, result: AddResult },
     /// The counter is at another address now. All calls that were made until now have ended.
     Replaced,
 }
@@ -78,8 +78,12 @@
 
 impl CounterClient {
     /// Carries calls out for ever, at the address that `address` holds, and reports each one's end.
-    pub async fn run(mut self, mut address: watch::Receiver<Option<SocketAddr>>, report: impl Fn(Report)) {
-        let ended = |key, result| report(Report::Ended { key, result });
+    pub async fn run(
+        mut self,
+        mut address: watch::Receiver<Option<SocketAddr>>,
+        report: impl Fn(CounterEvent),
+    ) {
+        let ended = |key, result| report(CounterEvent::CallEnded { key, result });
         let mut calls = Vec::with_capacity(BATCH);
         let mut rest_until = Instant::now();
         loop {
@@ -115,7 +119,7 @@
                     while let Ok(call) = self.queue.try_recv() {
                         ended(call.key, AddResult::NotAdded);
                     }
-                    report(Report::Replaced);
+                    report(CounterEvent::Replaced);
                     rest_until = Instant::now();
                 }
                 count = self.queue.recv_many(&mut calls, BATCH) => {
@@ -241,7 +245,7 @@
         let (put, done) = (got.clone(), tokio::sync::Notify::new());
         (0..calls).for_each(|key| counter.add(key, -1.5, 4000.0));
         let report = |report| {
-            let Report::Ended { key, result } = report else { return };
+            let CounterEvent::CallEnded { key, result } = report else { return };
             put.borrow_mut().push((key, result));
             if put.borrow().len() as u64 == calls {
                 done.notify_one();
@@ -286,7 +290,7 @@
         tokio::select! {
             () = line.run(seen, report) => {}
             end = got.recv() => {
-                assert_eq!(end, Some(Report::Ended { key: 7, result: AddResult::Unknown }));
+                assert_eq!(end, Some(CounterEvent::CallEnded { key: 7, result: AddResult::Unknown }));
             }
         }
     }
@@ -301,7 +305,7 @@
         tokio::select! {
             () = line.run(seen, report) => {}
             end = got.recv() => {
-                assert_eq!(end, Some(Report::Ended { key: 7, result: AddResult::NotAdded }));
+                assert_eq!(end, Some(CounterEvent::CallEnded { key: 7, result: AddResult::NotAdded }));
             }
         }
     }
--- a/src/bin/brassport/dispatcher.rs
+++ b/src/bin/brassport/dispatcher.rs
@@ -1,10 +1,10 @@
-//! The dispatcher: the single owner of the decision module. It keeps the module's clock and timers and the
-//! requests in hand, hands events in, and carries actions out in order. It decides nothing.
+//! Owns the decision module ([`Gateway`]): keeps its clock, its timers and the pending requests, feeds it events
+//! and carries out its actions in order. It makes no decisions itself.
 
-use crate::backends::{Backends, End, Message};
+use crate::backends::{AttemptResult, Backends, Message};
 use crate::client_stream::Connection;
 use crate::clock::Clock;
-use crate::counter::{self, Counter};
+use crate::counter::{Counter, CounterEvent};
 use crate::discovery::{List, State, Target};
 use crate::guard::{Guard, SendConditions, Violation};
 use crate::log;
@@ -22,16 +22,16 @@
 use tokio::sync::{oneshot, Notify};
 use tokio::time::{sleep_until, Instant};
 
-/// The final answer to a client.
+/// The final answer to a client's request.
 pub enum Answer {
     Served(Response<Bytes>),
-    /// Trying again is harmless; after so long, if that is not nought.
+    /// The request did not run and may safely be retried; after this time, if it is above 0.
     Refused(Millis),
     Failed,
 }
 
 impl Answer {
-    /// A word for the log.
+    /// The name of the kind, for the trace.
     fn kind(&self) -> &'static str {
         match self {
             Answer::Served(_) => "served",
@@ -41,39 +41,41 @@
     }
 }
 
-/// A request that awaits its answer or the ends of its attempts.
+/// A request without its final answer, or with attempts that have not ended.
 struct PendingRequest {
-    /// Its client's name for it.
-    name: String,
-    /// The connection that it came on.
+    /// The `x-request-id` that the client sent.
+    client_request_id: String,
+    /// The connection on which it arrived.
     client: Rc<Connection>,
     message: Rc<Message>,
-    /// When its client gives up.
+    /// When the client gives up.
     deadline: Instant,
-    /// `None` once it is answered or its client has gone.
+    /// `None` once the request is answered or its client has disconnected.
     answer: Option<oneshot::Sender<Answer>>,
-    /// To call each attempt off; `None` once it has ended.
+    /// Cancels each attempt, by its index; `None` once the attempt has ended or was cancelled.
     attempts: Vec<Option<oneshot::Sender<()>>>,
-    /// Whether it must not run twice, and whether an attempt that has ended may have run.
-    once: bool,
+    /// Whether it must not run twice.
+    non_idempotent: bool,
+    /// Whether one of the attempts that have ended may have run.
     may_have_run: bool,
 }
 
 struct Inner {
     gateway: Gateway,
     requests: HashMap<RequestId, PendingRequest>,
-    /// The names of those.
-    names: HashSet<String>,
-    last: RequestId,
-    alarms: BinaryHeap<Reverse<(Instant, u64)>>,
-    /// The backends by the number that stands for each.
-    known: HashMap<ServerId, KnownBackend>,
+    /// The `client_request_id` of each pending request.
+    client_request_ids: HashSet<String>,
+    last_request_id: RequestId,
+    /// Due time and token of each timer, the earliest first.
+    timers: BinaryHeap<Reverse<(Instant, u64)>>,
+    listed_backends: HashMap<ServerId, ListedBackend>,
 }
 
-/// A backend on the list.
-struct KnownBackend {
+/// A backend on the server list.
+struct ListedBackend {
     uid: String,
-    /// Its latest start as the list tells it, and on the module's clock: told twice, it is the same moment.
+    /// Its latest start: `boot_ms` as listed (Unix time) and the same moment on the module's clock. It is converted
+    /// once, so that a list that repeats `boot_ms` after a step of the wall clock yields the same moment.
     boot: Option<(f64, Millis)>,
 }
 
@@ -82,11 +84,12 @@
     zones: Vec<String>,
     backends: Rc<Backends>,
     counter: Counter,
-    /// Whether requests of each class must not run twice.
-    once: Vec<bool>,
+    /// Whether requests of a class must not run twice, by the index of the class.
+    non_idempotent_classes: Vec<bool>,
     guard: Guard,
     inner: RefCell<Inner>,
-    sooner: Notify,
+    /// Notified when a timer is set that is due before all others.
+    earlier_timer: Notify,
 }
 
 impl Dispatcher {
@@ -98,89 +101,106 @@
         counter: Counter,
     ) -> Result<Rc<Dispatcher>, InvalidSetting> {
         let clock = Clock::new();
-        let once =
+        let non_idempotent_classes =
             settings.classes.iter().map(|class| class.idempotency == Idempotency::NonIdempotent).collect();
         let inner = Inner {
             gateway: Gateway::new(settings, seed, clock.now())?,
             requests: HashMap::new(),
-            names: HashSet::new(),
-            last: 0,
-            alarms: BinaryHeap::new(),
-            known: HashMap::new(),
+            client_request_ids: HashSet::new(),
+            last_request_id: 0,
+            timers: BinaryHeap::new(),
+            listed_backends: HashMap::new(),
         };
-        let (inner, sooner, guard) = (RefCell::new(inner), Notify::new(), Guard::default());
-        Ok(Rc::new(Dispatcher { clock, zones, backends, counter, once, guard, inner, sooner }))
+        let (inner, earlier_timer, guard) = (RefCell::new(inner), Notify::new(), Guard::default());
+        Ok(Rc::new(Dispatcher {
+            clock,
+            zones,
+            backends,
+            counter,
+            non_idempotent_classes,
+            guard,
+            inner,
+            earlier_timer,
+        }))
     }
 
-    /// Takes a request in; `expires_in` and the id are filled in here. Guards against a second effect:
-    /// `None` if one of the same name is in hand, until the last of its attempts has ended.
+    /// Accepts a request and fills in its id and `expires_in`. Returns `None` while a request with the same
+    /// `client_request_id` is pending, up to the end of its last attempt: both could run.
     pub fn admit(
         self: &Rc<Self>,
         mut request: Request,
-        name: String,
+        client_request_id: String,
         message: Message,
         deadline: Instant,
         client: Rc<Connection>,
     ) -> Option<PendingAnswer> {
         let (answer, receiver) = oneshot::channel();
         let mut inner = self.inner.borrow_mut();
-        if !inner.names.insert(name.clone()) {
+        if !inner.client_request_ids.insert(client_request_id.clone()) {
             return None;
         }
-        inner.last += 1;
-        request.id = inner.last;
+        inner.last_request_id += 1;
+        request.id = inner.last_request_id;
         request.expires_in = deadline.saturating_duration_since(Instant::now()).as_secs_f64() * 1000.0;
-        let left = request.expires_in;
-        log::trace(&name, || format!("taken in as {}, {left:.0} ms left", request.id));
+        let time_left = request.expires_in;
+        log::trace(&client_request_id, || {
+            format!("accepted as request {}, {time_left:.0} ms to its deadline", request.id)
+        });
         let message = Rc::new(message);
-        let once = self.once.get(request.class).copied().unwrap_or(true);
-        let hand = PendingRequest {
-            name,
+        let non_idempotent = self.non_idempotent_classes.get(request.class).copied().unwrap_or(true);
+        let pending = PendingRequest {
+            client_request_id,
             client,
             message,
             deadline,
             answer: Some(answer),
             attempts: Vec::new(),
-            once,
+            non_idempotent,
             may_have_run: false,
         };
-        inner.requests.insert(request.id, hand);
+        inner.requests.insert(request.id, pending);
         drop(inner);
         self.handle(Event::Request(request));
         Some(PendingAnswer { dispatcher: self.clone(), id: request.id, answer: receiver })
     }
 
-    /// Reports what the guard has counted, and what is still in hand as the program ends.
+    /// Logs the guard's counts as the last line of the process. Requests without an answer whose clients still
+    /// wait are counted as a violation.
     pub fn report(&self) {
-        let waits = |hand: &&PendingRequest| hand.answer.is_some() && !hand.client.has_left();
-        let waiting = self.inner.borrow().requests.values().filter(waits).count();
-        if waiting > 0 {
-            self.guard.violated(Violation::EndedWithRequests, waiting);
+        let client_waits = |pending: &&PendingRequest| pending.answer.is_some() && !pending.client.has_left();
+        let unanswered = self.inner.borrow().requests.values().filter(client_waits).count();
+        if unanswered > 0 {
+            self.guard.record_violation(Violation::EndedWithRequests, unanswered);
         }
         log::last_line(format!("at the end: {}", self.guard));
     }
 
-    /// Fails all that is still in hand, as the program has to end.
+    /// Answers every pending request with a failure, as the process is about to exit.
     pub fn fail_all(self: &Rc<Self>) {
-        let answers: Vec<_> =
-            self.inner.borrow_mut().requests.values_mut().filter_map(|hand| hand.answer.take()).collect();
+        let answers: Vec<_> = self
+            .inner
+            .borrow_mut()
+            .requests
+            .values_mut()
+            .filter_map(|pending| pending.answer.take())
+            .collect();
         for answer in answers {
             let _ = answer.send(Answer::Failed);
         }
     }
 
-    /// Takes in the list of backends or a change to it, for itself and for the module.
+    /// Applies the server list, or changes to it, to the connection pool and passes it to the decision module.
     pub fn servers(self: &Rc<Self>, kind: ListKind, list: List) {
-        self.notice_step();
+        self.detect_clock_step();
         let mut entries = Vec::with_capacity(list.targets.len());
         let mut gone = HashSet::new();
         for target in &list.targets {
-            let id = self.id(&target.uid);
+            let id = self.server_id(&target.uid);
             let address = target.endpoint.parse().ok();
-            let entry = self.entry(id, target, address);
+            let entry = self.server_entry(id, target, address);
             match address {
                 Some(at) if entry.lifecycle != Lifecycle::Gone => {
-                    self.backends.put(id, at, entry.lifecycle == Lifecycle::Ready);
+                    self.backends.upsert(id, at, entry.lifecycle == Lifecycle::Ready);
                     gone.remove(&id);
                 }
                 _ => {
@@ -194,17 +214,17 @@
         if kind != ListKind::Delta {
             let listed: HashSet<ServerId> = entries.iter().map(|entry| entry.id).collect();
             self.backends.retain(|id| listed.contains(&id));
-            inner.known.retain(|id, _| listed.contains(id));
+            inner.listed_backends.retain(|id, _| listed.contains(id));
         }
-        // Names of those that went would pile up, as each new backend has a new one.
+        // Every new backend has a new uid, so the entries of removed ones would accumulate.
         for id in &gone {
-            inner.known.remove(id);
+            inner.listed_backends.remove(id);
         }
         drop(inner);
         self.handle(Event::Servers { kind, entries });
     }
 
-    fn entry(&self, id: ServerId, target: &Target, address: Option<SocketAddr>) -> ServerEntry {
+    fn server_entry(&self, id: ServerId, target: &Target, address: Option<SocketAddr>) -> ServerEntry {
         let zone = self.zones.iter().position(|zone| *zone == target.az);
         ServerEntry {
             id,
@@ -216,60 +236,61 @@
                 State::Ready | State::Draining | State::Unknown => Lifecycle::Draining,
                 State::Gone => Lifecycle::Gone,
             },
-            started_at: self.launched(id, target.boot_ms),
+            started_at: self.started_at(id, target.boot_ms),
         }
     }
 
-    /// The number that stands for a backend: the one its name holds, so that every front door finds the
-    /// same. Another name is hashed, and moves on if its number stands for a different one.
-    fn id(&self, uid: &str) -> ServerId {
+    /// The id of a backend. It is the number in a uid of the form `s-` and 8 hexadecimal digits, and the FNV-1a hash
+    /// of any other uid, so that all gateways derive the same id. If another uid has that id, the next free one is
+    /// taken.
+    fn server_id(&self, uid: &str) -> ServerId {
         let digits = uid.strip_prefix("s-").filter(|digits| digits.len() == 8);
         let hash = || {
             let mix = |hash: u32, byte: u8| (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193);
             uid.bytes().fold(0x811c_9dc5, mix)
         };
         let mut id = digits.and_then(|digits| u32::from_str_radix(digits, 16).ok()).unwrap_or_else(hash);
-        let known = &mut self.inner.borrow_mut().known;
-        while known.get(&id).is_some_and(|other| other.uid != uid) {
+        let listed = &mut self.inner.borrow_mut().listed_backends;
+        while listed.get(&id).is_some_and(|other| other.uid != uid) {
             id = id.wrapping_add(1);
         }
-        known.entry(id).or_insert_with(|| KnownBackend { uid: uid.to_string(), boot: None });
+        listed.entry(id).or_insert_with(|| ListedBackend { uid: uid.to_string(), boot: None });
         id
     }
 
-    /// When a backend started, on the module's clock, if that was not long ago.
-    fn launched(&self, id: ServerId, boot_ms: f64) -> Option<Millis> {
+    /// When a backend started, on the module's clock; `None` if the list does not give it.
+    fn started_at(&self, id: ServerId, boot_ms: f64) -> Option<Millis> {
         if boot_ms <= 0.0 || !boot_ms.is_finite() {
             return None;
         }
         let mut inner = self.inner.borrow_mut();
-        let backend = inner.known.get_mut(&id)?;
-        let held = backend.boot.filter(|(told, _)| *told == boot_ms);
-        let boot = held.unwrap_or_else(|| (boot_ms, self.clock.time_of(boot_ms)));
+        let backend = inner.listed_backends.get_mut(&id)?;
+        let unchanged = backend.boot.filter(|(listed, _)| *listed == boot_ms);
+        let boot = unchanged.unwrap_or_else(|| (boot_ms, self.clock.module_time_of(boot_ms)));
         backend.boot = Some(boot);
         Some(boot.1)
     }
 
-    /// Takes in what the line to the counter reports.
-    pub fn counter_reported(self: &Rc<Self>, report: counter::Report) {
-        self.handle(match report {
-            counter::Report::Ended { key, result } => Event::CounterAnswer { key, result },
-            counter::Report::Replaced => Event::CounterReplaced,
+    /// Passes an event of the counter client to the decision module.
+    pub fn counter_reported(self: &Rc<Self>, event: CounterEvent) {
+        self.handle(match event {
+            CounterEvent::CallEnded { key, result } => Event::CounterAnswer { key, result },
+            CounterEvent::Replaced => Event::CounterReplaced,
         });
     }
 
-    /// Wakes the module when its timers are due.
+    /// Passes each timer to the decision module when it is due. Never returns.
     pub async fn keep_time(self: Rc<Self>) {
         loop {
-            let next = self.inner.borrow().alarms.peek().map(|Reverse((at, _))| *at);
+            let next = self.inner.borrow().timers.peek().map(|Reverse((at, _))| *at);
             match next {
-                None => self.sooner.notified().await,
+                None => self.earlier_timer.notified().await,
                 Some(at) if at > Instant::now() => tokio::select! {
                     () = sleep_until(at) => {}
-                    () = self.sooner.notified() => {}
+                    () = self.earlier_timer.notified() => {}
                 },
                 Some(_) => {
-                    let due = self.inner.borrow_mut().alarms.pop();
+                    let due = self.inner.borrow_mut().timers.pop();
                     if let Some(Reverse((_, token))) = due {
                         self.handle(Event::Timer(token));
                     }
@@ -279,7 +300,7 @@
     }
 
     fn handle(self: &Rc<Self>, event: Event) {
-        self.notice_step();
+        self.detect_clock_step();
         let inner = &mut *self.inner.borrow_mut();
         let mut actions = Vec::new();
         inner.gateway.handle(self.clock.now(), event, &mut actions);
@@ -288,64 +309,75 @@
         }
     }
 
-    /// Tells the module if the wall clock was stepped.
-    fn notice_step(&self) {
-        let Some(ahead) = self.clock.step() else { return };
-        log::line(format!("the wall clock was stepped: {ahead:.0} ms ahead of its course since the start"));
-        let event = Event::WallClockStepped { offset: ahead };
+    /// Logs a step of the wall clock and reports it to the decision module.
+    fn detect_clock_step(&self) {
+        let Some(offset) = self.clock.detect_step() else { return };
+        log::line(format!(
+            "wall clock stepped: its offset from the monotonic clock has changed by {offset:.0} ms since the start"
+        ));
+        let event = Event::WallClockStepped { offset };
         self.inner.borrow_mut().gateway.handle(self.clock.now(), event, &mut Vec::new());
     }
 
-    /// What an action names and is no longer in hand was answered meanwhile: it is passed over.
+    /// Carries out one action. An action for a request that is no longer pending is ignored.
     fn carry_out(self: &Rc<Self>, inner: &mut Inner, action: Action) {
         match action {
             Action::Send { request, server, give_up_at, start_by } => {
-                let Some(hand) = inner.requests.get_mut(&request) else { return };
+                let Some(pending) = inner.requests.get_mut(&request) else { return };
                 let give_up_at =
-                    give_up_at.map_or(hand.deadline, |at| self.clock.instant(at).min(hand.deadline));
+                    give_up_at.map_or(pending.deadline, |at| self.clock.to_instant(at).min(pending.deadline));
                 let (cancel, cancelled) = oneshot::channel();
-                let number = hand.attempts.len() as u8;
-                log::trace(&hand.name, || format!("attempt {number} to {server:08x}"));
-                hand.attempts.push(Some(cancel));
-                let mut times = (start_by, give_up_at);
-                if hand.once && (hand.may_have_run || hand.attempts.iter().rev().skip(1).any(Option::is_some))
+                let number = pending.attempts.len() as u8;
+                log::trace(&pending.client_request_id, || format!("attempt {number} to {server:08x}"));
+                pending.attempts.push(Some(cancel));
+                let mut time_limits = (start_by, give_up_at);
+                if pending.non_idempotent
+                    && (pending.may_have_run || pending.attempts.iter().rev().skip(1).any(Option::is_some))
                 {
-                    self.guard.violated(Violation::Repeated, &hand.name);
-                    times.0 = f64::NEG_INFINITY;
+                    self.guard.record_violation(Violation::Repeated, &pending.client_request_id);
+                    // The latest time to begin is already over, so the guard stops the attempt.
+                    time_limits.0 = f64::NEG_INFINITY;
                 }
-                let attempt =
-                    self.clone().attempt(request, number, server, hand.message.clone(), times, cancelled);
+                let attempt = self.clone().run_attempt(
+                    request,
+                    number,
+                    server,
+                    pending.message.clone(),
+                    time_limits,
+                    cancelled,
+                );
                 tokio::task::spawn_local(attempt);
             }
             Action::Refuse { request, retry_after, reason } => {
-                if let Some(hand) = inner.requests.get(&request) {
-                    log::trace(&hand.name, || format!("refused: {reason:?}"));
+                if let Some(pending) = inner.requests.get(&request) {
+                    log::trace(&pending.client_request_id, || format!("refused: {reason:?}"));
                 }
                 inner.answer(request, Answer::Refused(retry_after));
             }
             Action::Fail(request) => inner.answer(request, Answer::Failed),
             Action::Cancel { request, attempt } => {
-                let hand = inner.requests.get_mut(&request);
-                let attempt = hand.and_then(|hand| hand.attempts.get_mut(usize::from(attempt))?.take());
-                if let Some(cancel) = attempt {
+                let pending = inner.requests.get_mut(&request);
+                let cancel =
+                    pending.and_then(|pending| pending.attempts.get_mut(usize::from(attempt))?.take());
+                if let Some(cancel) = cancel {
                     let _ = cancel.send(());
                 }
             }
             Action::Timer { at, token } => {
-                let at = self.clock.instant(at);
-                if inner.alarms.peek().is_none_or(|Reverse((first, _))| at < *first) {
-                    self.sooner.notify_one();
+                let at = self.clock.to_instant(at);
+                if inner.timers.peek().is_none_or(|Reverse((first, _))| at < *first) {
+                    self.earlier_timer.notify_one();
                 }
-                inner.alarms.push(Reverse((at, token)));
+                inner.timers.push(Reverse((at, token)));
             }
-            // The program follows the list from its start, whoever asks.
+            // The process watches the server list from its start.
             Action::WatchServers => {}
             Action::AddToCounter { key, amount, ttl } => self.counter.add(key, amount, ttl),
             Action::Log(text) => log::line(text),
         }
     }
 
-    async fn attempt(
+    async fn run_attempt(
         self: Rc<Self>,
         request: RequestId,
         attempt: u8,
@@ -354,42 +386,43 @@
         (start_by, give_up_at): (Millis, Instant),
         cancelled: oneshot::Receiver<()>,
     ) {
-        let sent = self.clock.now();
+        let started = self.clock.now();
         let may_begin = |server_ready| {
             let inner = self.inner.borrow();
-            let hand = inner.requests.get(&request);
-            let sending = SendConditions {
-                answered: hand.is_none_or(|hand| hand.answer.is_none()),
-                // The system is asked: the runtime may not have looked at the client's socket for a while.
-                client_left: hand.is_some_and(|hand| hand.client.has_left()),
+            let pending = inner.requests.get(&request);
+            let conditions = SendConditions {
+                answered: pending.is_none_or(|pending| pending.answer.is_none()),
+                // Reads the socket directly: the runtime's readiness state is only as recent as its last poll.
+                client_left: pending.is_some_and(|pending| pending.client.has_left()),
                 window_over: self.clock.now() >= start_by,
                 server_ready,
                 time_left: Instant::now() < give_up_at,
             };
-            self.guard.may_send(hand.map_or("", |hand| hand.name.as_str()), sending)
+            let client_request_id = pending.map_or("", |pending| pending.client_request_id.as_str());
+            self.guard.may_send(client_request_id, conditions)
         };
-        // A sender that is dropped without a word cancels nothing.
+        // Dropping the sender does not cancel the attempt.
         let cancel = async {
             if cancelled.await.is_err() {
                 std::future::pending::<()>().await;
             }
         };
-        let End { outcome, quota_usage, answer } =
+        let AttemptResult { outcome, quota_usage, response } =
             self.backends.attempt(server, &message, give_up_at, cancel, may_begin).await;
         let mut inner = self.inner.borrow_mut();
-        if let Some(answer) = answer {
-            inner.answer(request, Answer::Served(answer));
+        if let Some(response) = response {
+            inner.answer(request, Answer::Served(response));
         }
         let mut finished = true;
-        if let Some(hand) = inner.requests.get_mut(&request) {
-            log::trace(&hand.name, || format!("attempt {attempt} ended: {outcome:?}"));
-            hand.attempts[usize::from(attempt)] = None;
-            hand.may_have_run |= !outcome.never_ran();
-            finished = hand.answer.is_none();
+        if let Some(pending) = inner.requests.get_mut(&request) {
+            log::trace(&pending.client_request_id, || format!("attempt {attempt} ended: {outcome:?}"));
+            pending.attempts[usize::from(attempt)] = None;
+            pending.may_have_run |= !outcome.never_ran();
+            finished = pending.answer.is_none();
         }
-        inner.forget_if_over(request);
+        inner.remove_if_complete(request);
         drop(inner);
-        let elapsed = self.clock.now() - sent;
+        let elapsed = self.clock.now() - started;
         self.handle(Event::AttemptEnd(AttemptEnd {
             request,
             attempt,
@@ -402,27 +435,31 @@
 }
 
 impl Inner {
-    /// Passes the final answer on, unless there was one before.
+    /// Sends the final answer, unless the request has had one.
     fn answer(&mut self, request: RequestId, answer: Answer) {
-        let Some(hand) = self.requests.get_mut(&request) else { return };
-        if let Some(client) = hand.answer.take() {
-            log::trace(&hand.name, || format!("answer: {}", answer.kind()));
-            let _ = client.send(answer);
+        let Some(pending) = self.requests.get_mut(&request) else { return };
+        if let Some(sender) = pending.answer.take() {
+            log::trace(&pending.client_request_id, || format!("answer: {}", answer.kind()));
+            let _ = sender.send(answer);
         }
-        self.forget_if_over(request);
+        self.remove_if_complete(request);
     }
 
-    fn forget_if_over(&mut self, request: RequestId) {
-        let over = |hand: &PendingRequest| hand.answer.is_none() && hand.attempts.iter().all(Option::is_none);
-        if self.requests.get(&request).is_some_and(over) {
-            if let Some(hand) = self.requests.remove(&request) {
-                self.names.remove(&hand.name);
+    /// Removes a request that needs no answer any more and has no attempts in flight.
+    fn remove_if_complete(&mut self, request: RequestId) {
+        let is_complete = |pending: &PendingRequest| {
+            pending.answer.is_none() && pending.attempts.iter().all(Option::is_none)
+        };
+        if self.requests.get(&request).is_some_and(is_complete) {
+            if let Some(pending) = self.requests.remove(&request) {
+                self.client_request_ids.remove(&pending.client_request_id);
             }
         }
     }
 }
 
-/// A client's claim to its answer. Dropped before that has come, it tells the module that the client left.
+/// Receives the answer to a request. If dropped before the answer, it reports to the decision module that the
+/// client has disconnected.
 pub struct PendingAnswer {
     dispatcher: Rc<Dispatcher>,
     id: RequestId,
@@ -430,7 +467,7 @@
 }
 
 impl PendingAnswer {
-    /// The final answer. Guards against a request that nothing answers: it fails at `deadline`.
+    /// Waits for the final answer. The request fails at `deadline` if it has none by then.
     pub async fn answer(mut self, deadline: Instant) -> Answer {
         tokio::select! {
             biased;
@@ -443,15 +480,15 @@
 impl Drop for PendingAnswer {
     fn drop(&mut self) {
         let mut inner = self.dispatcher.inner.borrow_mut();
-        let Some(hand) = inner.requests.get_mut(&self.id) else { return };
-        if hand.answer.take().is_none() {
+        let Some(pending) = inner.requests.get_mut(&self.id) else { return };
+        if pending.answer.take().is_none() {
             return;
         }
-        log::trace(&hand.name, || "its client left, or its time is over".into());
-        if Instant::now() < hand.deadline && !hand.client.has_left() {
-            self.dispatcher.guard.violated(Violation::Unanswered, &hand.name);
+        log::trace(&pending.client_request_id, || "client disconnected or deadline passed".into());
+        if Instant::now() < pending.deadline && !pending.client.has_left() {
+            self.dispatcher.guard.record_violation(Violation::Unanswered, &pending.client_request_id);
         }
-        inner.forget_if_over(self.id);
+        inner.remove_if_complete(self.id);
         drop(inner);
         self.dispatcher.handle(Event::ClientDisconnected(self.id));
     }
--- a/src/bin/brassport/guard.rs
+++ b/src/bin/brassport/guard.rs
@@ -1,8 +1,8 @@
-//! The rules that bind at the moment of an act: sending, repeating, closing, ending. Each has one check here, made
-//! right before the act or at its end, and what it finds is counted.
+//! Checks made right before an attempt is sent or a request or the process ends, and the counts of what they found.
 //!
-//! An attempt that must not begin is stopped, which is no fault: events cross. A violation is something that the
-//! rest of the program has to rule out; it is logged as such.
+//! An attempt that must not begin is stopped. That is normal: the request may be answered, or its server removed,
+//! while a connection is being established. A violation is a broken rule that the rest of the program has to
+//! prevent; it is logged as a fault.
 
 use crate::log;
 use std::cell::Cell;
@@ -11,19 +11,20 @@
 /// Why an attempt must not begin at this moment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StopReason {
-    /// The request has its answer, or nobody waits for one.
+    /// The request is answered or no longer pending.
     Answered,
-    /// Its client has closed the connection.
+    /// The client has closed the connection.
     ClientLeft,
-    /// What it repeats may have run, and would not be dropped any more.
+    /// An earlier attempt may have run, and servers would no longer drop this one as its duplicate.
     WindowOver,
-    /// The server drains, has gone, or is elsewhere by now.
+    /// The server is draining, has been removed, or has a new address.
     ServerNotReady,
-    /// The client's time is over.
+    /// The time at which to give up on the attempt, at the latest the client's deadline, has passed.
     NoTimeLeft,
 }
 
-const STOPS: [StopReason; 5] = [
+/// In the order of the enum, whose discriminants index the counts, and of the flags in [`SendConditions::check`].
+const STOP_REASONS: [StopReason; 5] = [
     StopReason::Answered,
     StopReason::ClientLeft,
     StopReason::WindowOver,
@@ -31,18 +32,18 @@
     StopReason::NoTimeLeft,
 ];
 
-/// A rule of the service that was broken.
+/// A rule that was broken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Violation {
-    /// A second attempt of a request that must not run twice, while one may have run.
+    /// A further attempt of a request that must not run twice, while an earlier attempt may run or have run.
     Repeated,
-    /// A request was dropped without its answer while its client waited.
+    /// A request was dropped without an answer while its client was waiting.
     Unanswered,
-    /// The program ends with requests that have no answer.
+    /// The process ends with unanswered requests.
     EndedWithRequests,
 }
 
-/// What is known when the first byte of an attempt is about to be written.
+/// The conditions under which the first byte of an attempt is about to be written.
 #[derive(Debug, Clone, Copy)]
 pub struct SendConditions {
     pub answered: bool,
@@ -53,39 +54,40 @@
 }
 
 impl SendConditions {
-    /// The first rule that forbids it.
+    /// Checks whether the attempt may begin.
     ///
     /// # Errors
-    /// Which rule that is.
+    /// The first reason why it must not.
     pub fn check(self) -> Result<(), StopReason> {
         let forbidden =
             [self.answered, self.client_left, self.window_over, !self.server_ready, !self.time_left];
-        match STOPS.iter().zip(forbidden).find(|(_, forbidden)| *forbidden) {
-            Some((stop, _)) => Err(*stop),
+        match STOP_REASONS.iter().zip(forbidden).find(|(_, forbidden)| *forbidden) {
+            Some((reason, _)) => Err(*reason),
             None => Ok(()),
         }
     }
 }
 
-/// Counts what the checks found.
+/// Counts of stopped attempts and of violations.
 #[derive(Debug, Default)]
 pub struct Guard {
-    stopped: [Cell<u64>; STOPS.len()],
+    /// By reason.
+    stopped: [Cell<u64>; STOP_REASONS.len()],
     violations: Cell<u64>,
 }
 
 impl Guard {
-    /// Whether an attempt of a request may begin now; notes it if not.
-    pub fn may_send(&self, request: &str, sending: SendConditions) -> bool {
-        let Err(stop) = sending.check() else { return true };
-        log::trace(request, || format!("attempt stopped: {stop:?}"));
-        let count = &self.stopped[stop as usize];
+    /// Whether an attempt of a request may begin now; if not, it is counted as stopped.
+    pub fn may_send(&self, client_request_id: &str, conditions: SendConditions) -> bool {
+        let Err(reason) = conditions.check() else { return true };
+        log::trace(client_request_id, || format!("attempt stopped: {reason:?}"));
+        let count = &self.stopped[reason as usize];
         count.set(count.get() + 1);
         false
     }
 
-    /// Notes a broken rule.
-    pub fn violated(&self, violation: Violation, subject: impl fmt::Display) {
+    /// Counts and logs a violation.
+    pub fn record_violation(&self, violation: Violation, subject: impl fmt::Display) {
         self.violations.set(self.violations.get() + 1);
         log::line(format!("violation: {violation:?}: {subject}"));
     }
@@ -94,8 +96,8 @@
 impl fmt::Display for Guard {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} violations; attempts stopped:", self.violations.get())?;
-        for (stop, count) in STOPS.iter().zip(&self.stopped) {
-            write!(f, " {stop:?} {}", count.get())?;
+        for (reason, count) in STOP_REASONS.iter().zip(&self.stopped) {
+            write!(f, " {reason:?} {}", count.get())?;
         }
         Ok(())
     }
@@ -114,7 +116,7 @@
     };
 
     #[test]
-    fn each_rule_alone_forbids_an_attempt_and_is_counted() {
+    fn each_condition_alone_stops_an_attempt_and_is_counted() {
         let guard = Guard::default();
         assert!(guard.may_send("a", ALLOWED));
         let forbidden = [
@@ -124,11 +126,11 @@
             SendConditions { server_ready: false, ..ALLOWED },
             SendConditions { time_left: false, ..ALLOWED },
         ];
-        for (sending, stop) in forbidden.into_iter().zip(STOPS) {
-            assert_eq!(sending.check(), Err(stop));
-            assert!(!guard.may_send("a", sending));
+        for (conditions, reason) in forbidden.into_iter().zip(STOP_REASONS) {
+            assert_eq!(conditions.check(), Err(reason));
+            assert!(!guard.may_send("a", conditions));
         }
-        guard.violated(Violation::Unanswered, "b");
+        guard.record_violation(Violation::Unanswered, "b");
         let counted =
             "1 violations; attempts stopped: Answered 1 ClientLeft 1 WindowOver 1 ServerNotReady 1 NoTimeLeft 1";
         assert_eq!(guard.to_string(), counted);
--- a/src/bin/brassport/http_connection.rs
+++ b/src/bin/brassport/http_connection.rs
@@ -19,7 +19,7 @@
 
 /// Why an exchange brought no whole answer.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Failure {
+pub enum ExchangeError {
     /// No byte of the request was written.
     Unsent,
     /// The connection broke, or the answer is not one of HTTP, after some of it may have been written.
@@ -51,21 +51,21 @@
         &mut self,
         request: Request<Full<Bytes>>,
         most: usize,
-    ) -> Result<Response<Bytes>, Failure> {
+    ) -> Result<Response<Bytes>, ExchangeError> {
         let HttpConnection { sender, connection, .. } = self;
         // hyper hands a request back only if it never began to write it.
         let answer = sender.try_send_request(request);
         let answer = drive(connection, answer).await.map_err(|mut error| match error.take_message() {
-            Some(_) => Failure::Unsent,
-            None => Failure::Broken,
+            Some(_) => ExchangeError::Unsent,
+            None => ExchangeError::Broken,
         })?;
         let (head, body) = answer.into_parts();
         if body.size_hint().lower() > most as u64 {
-            return Err(Failure::Broken);
+            return Err(ExchangeError::Broken);
         }
         let body = drive(connection, Limited::new(body, most).collect()).await;
         // Guards against serving a body that was cut short: an error of the body is a broken connection.
-        let body = body.map_err(|_| Failure::Broken)?.to_bytes();
+        let body = body.map_err(|_| ExchangeError::Broken)?.to_bytes();
         Ok(Response::from_parts(head, body))
     }
 
