--- a/src/bin/brassport/backends.rs
+++ b/src/bin/brassport/backends.rs
@@ -16,15 +16,18 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tokio::time::{sleep, sleep_until, timeout_at, Instant};
 
-/// Largest body of a request or a response, in bytes.
+/// Largest body of a request or a response, in bytes. A larger request is rejected; a larger response fails the
+/// attempt.
 pub const BODY_LIMIT: usize = 64 * 1024;
 /// Share of the backends' idle time-out after which the gateway closes an idle connection. Backends may close
-/// earlier than they declare, and a request that is sent while its backend closes is lost.
+/// earlier than they declare, and a request that is sent while its backend closes is lost; a smaller share costs more
+/// connects.
 const IDLE_TIMEOUT_SHARE: f64 = 0.5;
 /// Time after a response during which its connection is not reused. Bytes beyond the response may arrive some
 /// milliseconds late; once the next request is sent, they would be read as its response.
 const REUSE_DELAY: Duration = Duration::from_millis(20);
-/// Interval between two checks of the idle connections.
+/// Interval between two checks of the idle connections. A longer one keeps dead connections and their file descriptors
+/// for longer.
 const SWEEP_PERIOD: Duration = Duration::from_secs(1);
 /// Highest usage that is accepted from the meter, in percent of the rate. No customer can use more: a burst is
 /// some seconds of its rate, and gateways do not forward excess requests for long.
--- a/src/bin/brassport/clock.rs
+++ b/src/bin/brassport/clock.rs
@@ -1,38 +1,43 @@
-//! The module's clock, and what other machines' wall clocks mean on it.
+//! The decision module's clock, and the conversion of wall-clock times to it.
 //!
-//! The module's clock is monotonic. The wall clock may be stepped at any time, here and everywhere at once; it is
-//! read for two purposes only: to place what other machines tell in Unix time on the module's clock, and to know
-//! what all gateways' clocks show now.
+//! The module's clock is monotonic. The wall clock may be stepped at any time, on one machine or on all of them at
+//! once. It is read for two purposes only: to convert times that other machines give in Unix time to the module's
+//! clock, and to obtain the time that the wall clocks of all gateways show.
 
 use springusher::Millis;
 use std::cell::{Cell, RefCell};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// A difference between the two clocks that is none: the clock is slewed, or the reading was interrupted.
-const LEAST_STEP: Millis = 50.0;
-/// Between two looks at the wall clock.
+/// Smallest change of the offset between the two clocks that counts as a step, in milliseconds. Smaller ones come
+/// from slewing of the wall clock or from an interruption between the two readings.
+const MIN_STEP: Millis = 50.0;
+/// Shortest time between two readings of the wall clock, in milliseconds. A longer one leaves it open for longer
+/// whether a step had already happened at a given moment; a shorter one costs more system calls.
 const SAMPLE_PERIOD: Millis = 10.0;
-/// Steps that are remembered.
-const MOST_STEPS: usize = 16;
+/// Most segments that are kept. With fewer, times from before the oldest remaining step are converted less exactly.
+const MAX_SEGMENTS: usize = 16;
 
-/// A span of the module's clock through which the wall clock was ahead of it by the same amount.
+/// A span of the module's clock with a constant offset of the wall clock.
 #[derive(Debug, Clone, Copy)]
 struct Segment {
-    ahead: Millis,
-    /// The earliest and the latest moment at which it may have held: a step shows only at the next look.
+    /// Wall clock minus the module's clock, in milliseconds.
+    offset: Millis,
+    /// Earliest moment at which the offset may have applied: the reading before the one that showed the step.
     from: Millis,
+    /// Latest moment at which the offset may have applied: the reading that showed the next step.
     until: Millis,
 }
 
-/// The clocks of one front door.
+/// The clocks of one gateway.
 #[derive(Debug)]
 pub struct Clock {
     start: Instant,
-    /// The module's time at the start: Unix time, so that it is above zero and readable in a log.
+    /// The module's time at `start`: Unix time, so that it is above zero and readable in a log.
     start_time: Millis,
-    sampled: Cell<Millis>,
-    /// The oldest first; the last one is in force.
+    /// The module's time of the latest reading of the wall clock.
+    last_sample: Cell<Millis>,
+    /// The oldest first; the last one is the current one.
     segments: RefCell<Vec<Segment>>,
 }
 
@@ -41,13 +46,13 @@
 }
 
 impl Clock {
-    /// A clock that shows Unix time now, and goes on from there whatever becomes of the wall clock.
+    /// A clock that starts at the current Unix time and from there on is independent of the wall clock.
     pub fn new() -> Clock {
         let start_time = wall_clock();
-        // What the wall clock did before the start nobody here has seen.
-        let first = Segment { ahead: 0.0, from: start_time, until: f64::INFINITY };
+        // Steps before the start are unknown, so the first segment begins here.
+        let first = Segment { offset: 0.0, from: start_time, until: f64::INFINITY };
         let segments = RefCell::new(vec![first]);
-        Clock { start: Instant::now(), start_time, sampled: Cell::new(start_time), segments }
+        Clock { start: Instant::now(), start_time, last_sample: Cell::new(start_time), segments }
     }
 
     /// The module's time.
@@ -55,49 +60,49 @@
         self.start_time + self.start.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// A moment of the module's time as the runtime's.
+    /// Converts a time of the module's clock to the runtime's clock.
     pub fn to_instant(&self, at: Millis) -> Instant {
-        let since = Duration::try_from_secs_f64((at - self.start_time) / 1000.0).unwrap_or_default();
-        self.start.checked_add(since).unwrap_or_else(Instant::now)
+        let since_start = Duration::try_from_secs_f64((at - self.start_time) / 1000.0).unwrap_or_default();
+        self.start.checked_add(since_start).unwrap_or_else(Instant::now)
     }
 
-    /// Looks at the wall clock; if it was stepped, tells how far it is ahead of the module's clock now.
+    /// Reads the wall clock, at most once per `SAMPLE_PERIOD`. If it was stepped, returns its new offset from the
+    /// module's clock.
     pub fn detect_step(&self) -> Option<Millis> {
         let now = self.now();
-        if now < self.sampled.get() + SAMPLE_PERIOD {
+        if now < self.last_sample.get() + SAMPLE_PERIOD {
             return None;
         }
-        self.stepped(now, wall_clock())
+        self.record_sample(now, wall_clock())
     }
 
-    fn stepped(&self, now: Millis, wall: Millis) -> Option<Millis> {
-        let before = self.sampled.replace(now);
-        let ahead = wall - now;
+    fn record_sample(&self, now: Millis, wall: Millis) -> Option<Millis> {
+        let previous_sample = self.last_sample.replace(now);
+        let offset = wall - now;
         let mut segments = self.segments.borrow_mut();
-        let last = segments.last_mut().filter(|last| (ahead - last.ahead).abs() >= LEAST_STEP)?;
+        let last = segments.last_mut().filter(|last| (offset - last.offset).abs() >= MIN_STEP)?;
         last.until = now;
-        segments.push(Segment { ahead, from: before, until: f64::INFINITY });
-        if segments.len() > MOST_STEPS {
+        segments.push(Segment { offset, from: previous_sample, until: f64::INFINITY });
+        if segments.len() > MAX_SEGMENTS {
             segments.remove(0);
         }
-        Some(ahead)
+        Some(offset)
     }
 
-    /// The module's time of a past moment that another machine told by its wall clock. Where a step leaves more
-    /// than one answer it is the latest: what starts at that moment is then taken for younger, never for older.
+    /// Converts a past time of another machine's wall clock to the module's clock. Where a step makes it ambiguous,
+    /// the result is the latest candidate, so that a server is taken for younger than it is and never for older.
     ///
-    /// A moment before all that this clock has watched is placed at the first moment that it has: how far before
-    /// it lay is what an unwatched wall clock says, which a step makes wrong by any amount, and nothing that a
-    /// new process is told shows such a step.
+    /// A time before the first segment is converted to the start of that segment. How long before it lies is unknown: a
+    /// step that the process has not observed makes it wrong by any amount, and no input of a new process shows it.
     pub fn module_time_of(&self, wall: Millis) -> Millis {
         let now = self.now();
         let segments = self.segments.borrow();
-        let fits = segments.iter().rev().find_map(|segment| {
-            let at = wall - segment.ahead;
+        let candidate = segments.iter().rev().find_map(|segment| {
+            let at = wall - segment.offset;
             (at >= segment.from && at <= segment.until.min(now)).then_some(at)
         });
-        let first_watched = segments.first().filter(|first| wall - first.ahead < first.from);
-        fits.or(first_watched.map(|first| first.from)).unwrap_or(now)
+        let starts_after = segments.first().filter(|first| wall - first.offset < first.from);
+        candidate.or(starts_after.map(|first| first.from)).unwrap_or(now)
     }
 }
 
@@ -105,25 +110,25 @@
 mod tests {
     use super::*;
 
-    /// A clock that has run for a minute and whose wall clock was stepped by so much a second ago.
+    /// A clock that has run for a minute and whose wall clock was stepped by `step` a second ago.
     fn stepped_a_second_ago(step: Millis) -> Clock {
         let mut clock = Clock::new();
         clock.start -= Duration::from_secs(60);
         clock.start_time -= 60_000.0;
         clock.segments.borrow_mut()[0].from = clock.start_time;
         let at = clock.now() - 1000.0;
-        clock.sampled.set(at - 5.0);
-        assert_eq!(clock.stepped(at, at + step).map(|ahead| (ahead - step).abs() < 1.0), Some(true));
+        clock.last_sample.set(at - 5.0);
+        assert_eq!(clock.record_sample(at, at + step).map(|offset| (offset - step).abs() < 1.0), Some(true));
         clock
     }
 
     #[test]
-    fn a_moment_keeps_its_place_whatever_the_wall_clock_did_since() {
+    fn a_past_time_is_converted_to_the_same_moment_after_a_step_of_the_wall_clock() {
         for step in [-3_600_000.0, -4000.0, 4000.0, 3_600_000.0] {
             let clock = stepped_a_second_ago(step);
             let now = clock.now();
-            for (age, told) in [(500.0, step), (30_000.0, 0.0)] {
-                let at = clock.module_time_of(now - age + told);
+            for (age, wall_offset) in [(500.0, step), (30_000.0, 0.0)] {
+                let at = clock.module_time_of(now - age + wall_offset);
                 assert!(
                     (at - (now - age)).abs() < 1.0,
                     "step {step}, age {age}: {} ms off",
@@ -134,8 +139,8 @@
     }
 
     #[test]
-    fn what_two_moments_may_mean_is_the_later_one_and_never_the_future() {
-        // 3.5 s before a step back by 4 s the clock showed what it shows again 0.5 s after it.
+    fn an_ambiguous_time_is_converted_to_the_later_moment_and_none_to_the_future() {
+        // 3.5 s before a step back by 4 s the wall clock showed the same time as 0.5 s after it.
         let clock = stepped_a_second_ago(-4000.0);
         let now = clock.now();
         assert!((clock.module_time_of(now - 500.0 - 4000.0) - (now - 500.0)).abs() < 1.0);
@@ -143,7 +148,7 @@
     }
 
     #[test]
-    fn a_moment_before_the_first_that_was_watched_is_placed_there_however_long_ago_it_is_told_to_be() {
+    fn a_time_however_long_before_the_start_of_the_process_is_converted_to_none_before_it() {
         for step in [-3_600_000.0, -4000.0, 4000.0, 3_600_000.0] {
             let clock = stepped_a_second_ago(step);
             for age in [60_100.0, 70_000.0, 90_000_000.0] {
@@ -158,9 +163,9 @@
     }
 
     #[test]
-    fn small_differences_are_no_step() {
+    fn a_small_change_of_the_offset_is_not_a_step() {
         let clock = Clock::new();
         let at = clock.now() + 100.0;
-        assert_eq!(clock.stepped(at, at + 20.0), None);
+        assert_eq!(clock.record_sample(at, at + 20.0), None);
     }
 }
--- a/src/bin/brassport/counter.rs
+++ b/src/bin/brassport/counter.rs
@@ -1,5 +1,5 @@
-//! The counter: one connection, on which calls go out one behind another and answers come in their order.
-//! Every call ends, in the order in which they were made and within the time that the settings give.
+//! Client of the shared counter: one connection with pipelined calls, answered in order. Every call ends within the
+//! counter time-out of the settings, and calls end in the order in which they were made.
 
 use crate::socket::Socket;
 use springusher::{AddResult, CounterKey, Millis};
@@ -12,150 +12,161 @@
 use tokio::sync::watch;
 use tokio::time::{sleep_until, timeout, Instant};
 
-/// Longest answer, bytes: a word and a number.
-const ANSWER_LIMIT: usize = 128;
-/// Calls whose time is up and that no answer has come for: beyond that many the connection is given up.
-const MOST_LATE: usize = 256;
-/// After a connection that failed, or brought what can't be read, none is tried for so long: full jitter
-/// would spread front doors that were cut off together no wider than their next calls do.
-const BACK_OFF: Duration = Duration::from_millis(200);
-/// Calls taken from the queue at once.
-const BATCH: usize = 64;
+/// Longest answer, in bytes. An answer is a word and a number; a longer one is invalid.
+const MAX_ANSWER_BYTES: usize = 128;
+/// When a call times out and more calls than this are unanswered, the connection is closed. Without the limit, calls to
+/// a counter that never answers would accumulate.
+const MAX_UNANSWERED_CALLS: usize = 256;
+/// Time without a new connection after one that failed or returned an invalid answer. It needs no jitter: gateways
+/// that lost their connections together reconnect with their next calls, which spreads them as widely as full
+/// jitter would.
+const RECONNECT_DELAY: Duration = Duration::from_millis(200);
+/// Most calls that are written at once.
+const MAX_BATCH: usize = 64;
 
 struct Call {
     key: CounterKey,
     amount: f64,
     ttl: Millis,
-    until: Instant,
+    deadline: Instant,
 }
 
-/// A call that is out; `told` once its time was up.
-struct Waiting {
+/// A call that was sent and has no answer yet.
+struct SentCall {
     key: CounterKey,
-    until: Instant,
-    told: bool,
+    deadline: Instant,
+    /// Whether it has timed out. Its end is reported then, but it stays queued so that later answers match their calls.
+    timed_out: bool,
 }
 
-/// What the line to the counter tells.
+/// What the counter client reports.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum CounterEvent {
     /// A call ended.
     CallEnded { key: CounterKey, result: AddResult },
-    /// The counter is at another address now. All calls that were made until now have ended.
+    /// The counter has a new address. All calls that were made before have ended.
     Replaced,
 }
 
-/// Takes calls in. They are as many as requests in hand allow, and none waits for longer than its time.
+/// Queues calls for the [`CounterClient`]. The queue has no limit of its own: the number of pending requests limits
+/// its length, and the time-out how long a call waits.
 #[derive(Clone)]
 pub struct Counter {
     calls: UnboundedSender<Call>,
-    patience: Duration,
+    call_timeout: Duration,
 }
 
 impl Counter {
-    /// The counter, and its line for [`CounterClient::run`].
-    pub fn new(patience: Duration) -> (Counter, CounterClient) {
+    /// Returns the handle for calls, and the client that carries them out in [`CounterClient::run`].
+    pub fn new(call_timeout: Duration) -> (Counter, CounterClient) {
         let (calls, queue) = unbounded_channel();
-        let line = CounterClient { queue, patience, link: None, read: Vec::new(), waiting: VecDeque::new() };
-        (Counter { calls, patience }, line)
+        let client = CounterClient {
+            queue,
+            call_timeout,
+            connection: None,
+            received: Vec::new(),
+            sent: VecDeque::new(),
+        };
+        (Counter { calls, call_timeout }, client)
     }
 
     pub fn add(&self, key: CounterKey, amount: f64, ttl: Millis) {
-        let call = Call { key, amount, ttl, until: Instant::now() + self.patience };
-        // The line is kept for as long as the program runs.
+        let call = Call { key, amount, ttl, deadline: Instant::now() + self.call_timeout };
+        // The receiver exists for as long as the process runs.
         let _ = self.calls.send(call);
     }
 }
 
 pub struct CounterClient {
     queue: UnboundedReceiver<Call>,
-    patience: Duration,
-    link: Option<Socket>,
-    /// What has come of an answer so far.
-    read: Vec<u8>,
-    waiting: VecDeque<Waiting>,
+    call_timeout: Duration,
+    connection: Option<Socket>,
+    /// Received bytes that are not processed yet.
+    received: Vec<u8>,
+    /// Calls without an answer, in the order in which they were sent.
+    sent: VecDeque<SentCall>,
 }
 
 impl CounterClient {
-    /// Carries calls out for ever, at the address that `address` holds, and reports each one's end.
+    /// Carries out calls at the address that `address` holds, and reports the end of each. Runs until the process ends.
     pub async fn run(
         mut self,
         mut address: watch::Receiver<Option<SocketAddr>>,
         report: impl Fn(CounterEvent),
     ) {
         let ended = |key, result| report(CounterEvent::CallEnded { key, result });
-        let mut calls = Vec::with_capacity(BATCH);
-        let mut rest_until = Instant::now();
+        let mut calls = Vec::with_capacity(MAX_BATCH);
+        let mut reconnect_at = Instant::now();
         loop {
-            let next_late = self.waiting.iter().find(|call| !call.told).map(|call| call.until);
+            let next_timeout = self.sent.iter().find(|call| !call.timed_out).map(|call| call.deadline);
             tokio::select! {
                 biased;
-                read = receive(&mut self.link, &mut self.read) => {
-                    // The counter closes what stands idle: that says nothing of the next connection.
-                    let idle = self.waiting.is_empty() && self.read.is_empty();
-                    if !read || !self.take_answers(ended) {
-                        self.give_up(ended);
-                        if !idle {
-                            rest_until = Instant::now() + BACK_OFF;
+                is_open = receive(&mut self.connection, &mut self.received) => {
+                    // The counter closes idle connections. That is no failure, so the next one may open at once.
+                    let was_idle = self.sent.is_empty() && self.received.is_empty();
+                    if !is_open || !self.process_answers(ended) {
+                        self.close(ended);
+                        if !was_idle {
+                            reconnect_at = Instant::now() + RECONNECT_DELAY;
                         }
                     }
                 }
-                () = sleep_until(next_late.unwrap_or_else(Instant::now)), if next_late.is_some() => {
+                () = sleep_until(next_timeout.unwrap_or_else(Instant::now)), if next_timeout.is_some() => {
                     let now = Instant::now();
-                    for call in self.waiting.iter_mut().filter(|call| !call.told && call.until <= now) {
-                        call.told = true;
+                    for call in self.sent.iter_mut().filter(|call| !call.timed_out && call.deadline <= now) {
+                        call.timed_out = true;
                         ended(call.key, AddResult::Unknown);
                     }
-                    if self.waiting.len() > MOST_LATE {
-                        self.give_up(ended);
+                    if self.sent.len() > MAX_UNANSWERED_CALLS {
+                        self.close(ended);
                     }
                 }
-                moved = address.changed() => {
-                    if moved.is_err() {
+                changed = address.changed() => {
+                    if changed.is_err() {
                         return;
                     }
-                    self.give_up(ended);
-                    // What waits to go out may give back what the old counter holds.
+                    self.close(ended);
+                    // A queued call may subtract what was added at the old counter, so it must not go to the new one.
                     while let Ok(call) = self.queue.try_recv() {
                         ended(call.key, AddResult::NotAdded);
                     }
                     report(CounterEvent::Replaced);
-                    rest_until = Instant::now();
+                    reconnect_at = Instant::now();
                 }
-                count = self.queue.recv_many(&mut calls, BATCH) => {
+                count = self.queue.recv_many(&mut calls, MAX_BATCH) => {
                     if count == 0 {
                         return;
                     }
-                    let at = *address.borrow();
-                    if Instant::now() >= rest_until && !self.connected(at).await {
-                        rest_until = Instant::now() + BACK_OFF;
+                    let current_address = *address.borrow();
+                    if Instant::now() >= reconnect_at && !self.ensure_connected(current_address).await {
+                        reconnect_at = Instant::now() + RECONNECT_DELAY;
                     }
                     if !self.send(&mut calls, ended).await {
-                        rest_until = Instant::now() + BACK_OFF;
+                        reconnect_at = Instant::now() + RECONNECT_DELAY;
                     }
                 }
             }
         }
     }
 
-    /// Opens a connection if there is none.
-    async fn connected(&mut self, address: Option<SocketAddr>) -> bool {
-        if self.link.is_none() {
+    /// Opens a connection if there is none; returns whether there is one now.
+    async fn ensure_connected(&mut self, address: Option<SocketAddr>) -> bool {
+        if self.connection.is_none() {
             let Some(address) = address else { return false };
-            let Ok(Ok(link)) = timeout(self.patience, TcpStream::connect(address)).await else {
+            let Ok(Ok(stream)) = timeout(self.call_timeout, TcpStream::connect(address)).await else {
                 return false;
             };
-            if link.set_nodelay(true).is_err() {
+            if stream.set_nodelay(true).is_err() {
                 return false;
             }
-            self.link = Some(Socket::new(link));
+            self.connection = Some(Socket::new(stream));
         }
         true
     }
 
-    /// Writes calls out. Where nothing can be written nothing is added.
+    /// Writes calls to the connection; returns false if that fails. Without a connection they end as not added.
     async fn send(&mut self, calls: &mut Vec<Call>, ended: impl Fn(CounterKey, AddResult)) -> bool {
-        let Some(link) = &mut self.link else {
+        let Some(connection) = &mut self.connection else {
             calls.drain(..).for_each(|call| ended(call.key, AddResult::NotAdded));
             return true;
         };
@@ -163,49 +174,51 @@
         for Call { key, amount, ttl, .. } in calls.iter() {
             lines.push_str(&format!("add {key:x} {amount} {}\r\n", ttl.clamp(1.0, 60_000.0).round()));
         }
-        let written = matches!(timeout(self.patience, link.write_all(lines.as_bytes())).await, Ok(Ok(())));
-        for Call { key, until, .. } in calls.drain(..) {
-            self.waiting.push_back(Waiting { key, until, told: false });
+        let write = timeout(self.call_timeout, connection.write_all(lines.as_bytes()));
+        let written = matches!(write.await, Ok(Ok(())));
+        for Call { key, deadline, .. } in calls.drain(..) {
+            self.sent.push_back(SentCall { key, deadline, timed_out: false });
         }
         if !written {
-            self.give_up(ended);
+            self.close(ended);
         }
         written
     }
 
-    /// Takes in the whole lines that have come; false if one of them can't be read.
-    fn take_answers(&mut self, ended: impl Fn(CounterKey, AddResult)) -> bool {
-        while let Some(end) = self.read.iter().position(|byte| *byte == b'\n') {
-            let line: Vec<u8> = self.read.drain(..=end).collect();
-            let Some(result) = answer(&line) else { return false };
-            let Some(call) = self.waiting.pop_front() else { return false };
-            if !call.told {
+    /// Ends the calls whose answers have been received; returns false if an answer is invalid or has no call.
+    fn process_answers(&mut self, ended: impl Fn(CounterKey, AddResult)) -> bool {
+        while let Some(end) = self.received.iter().position(|byte| *byte == b'\n') {
+            let line: Vec<u8> = self.received.drain(..=end).collect();
+            let Some(result) = parse_answer(&line) else { return false };
+            let Some(call) = self.sent.pop_front() else { return false };
+            if !call.timed_out {
                 ended(call.key, result);
             }
         }
-        self.read.len() < ANSWER_LIMIT
+        self.received.len() < MAX_ANSWER_BYTES
     }
 
-    /// Closes the connection. What is out on it may have been added.
-    fn give_up(&mut self, ended: impl Fn(CounterKey, AddResult)) {
-        self.link = None;
-        self.read.clear();
-        for call in self.waiting.drain(..).filter(|call| !call.told) {
+    /// Closes the connection. Unanswered calls end as unknown, as they may have been carried out.
+    fn close(&mut self, ended: impl Fn(CounterKey, AddResult)) {
+        self.connection = None;
+        self.received.clear();
+        for call in self.sent.drain(..).filter(|call| !call.timed_out) {
             ended(call.key, AddResult::Unknown);
         }
     }
 }
 
-/// Reads what has come; false at the end of the connection. Without one it waits for ever.
-async fn receive(link: &mut Option<Socket>, read: &mut Vec<u8>) -> bool {
-    match link {
-        Some(link) => matches!(link.read_buf(read).await, Ok(count) if count > 0),
+/// Waits for bytes and appends them to `received`; returns false once the connection has ended or failed. Without a
+/// connection it never completes.
+async fn receive(connection: &mut Option<Socket>, received: &mut Vec<u8>) -> bool {
+    match connection {
+        Some(connection) => matches!(connection.read_buf(received).await, Ok(count) if count > 0),
         None => std::future::pending().await,
     }
 }
 
-/// What an answer says; `None` if it can't be read.
-fn answer(line: &[u8]) -> Option<AddResult> {
+/// Parses one line of the counter; `None` if it is invalid.
+fn parse_answer(line: &[u8]) -> Option<AddResult> {
     let mut words = std::str::from_utf8(line).ok()?.split_ascii_whitespace();
     let result = match words.next()? {
         "ok" => AddResult::Total(words.next()?.parse().ok().filter(|total: &f64| total.is_finite())?),
@@ -223,10 +236,10 @@
     use tokio::io::{AsyncBufReadExt, BufReader};
     use tokio::net::TcpListener;
 
-    /// Makes `calls` calls against a peer that answers the first with `script`, and returns their ends.
-    async fn ends(calls: u64, script: &'static [u8]) -> Vec<(CounterKey, AddResult)> {
+    /// Makes `calls` calls to a peer that writes `answers` once it has read them all, and returns their results.
+    async fn call_results(calls: u64, answers: &'static [u8]) -> Vec<(CounterKey, AddResult)> {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let at = listener.local_addr().expect("an address");
+        let address = listener.local_addr().expect("an address");
         let peer = async move {
             let (stream, _) = listener.accept().await.expect("a connection");
             let mut stream = BufReader::new(stream);
@@ -235,77 +248,77 @@
                 stream.read_line(&mut line).await.expect("a call");
                 assert_eq!(line, format!("add {n:x} -1.5 4000\r\n"));
             }
-            stream.write_all(script).await.expect("the answers go out");
+            stream.write_all(answers).await.expect("the answers are written");
             std::future::pending::<()>().await;
         };
-        // Its time is never up unless the clock, which stands, is moved.
-        let (counter, line) = Counter::new(Duration::from_secs(3600));
-        let (_address, seen) = watch::channel(Some(at));
-        let got = Rc::new(RefCell::new(Vec::new()));
-        let (put, done) = (got.clone(), tokio::sync::Notify::new());
+        // Long enough that no call times out during the test.
+        let (counter, client) = Counter::new(Duration::from_secs(3600));
+        let (_address, address_receiver) = watch::channel(Some(address));
+        let results = Rc::new(RefCell::new(Vec::new()));
+        let (reported, done) = (results.clone(), tokio::sync::Notify::new());
         (0..calls).for_each(|key| counter.add(key, -1.5, 4000.0));
-        let report = |report| {
-            let CounterEvent::CallEnded { key, result } = report else { return };
-            put.borrow_mut().push((key, result));
-            if put.borrow().len() as u64 == calls {
+        let report = |event| {
+            let CounterEvent::CallEnded { key, result } = event else { return };
+            reported.borrow_mut().push((key, result));
+            if reported.borrow().len() as u64 == calls {
                 done.notify_one();
             }
         };
         tokio::select! {
             () = peer => {}
-            () = line.run(seen, report) => {}
+            () = client.run(address_receiver, report) => {}
             () = done.notified() => {}
         }
-        let got = got.borrow().clone();
-        got
+        let results = results.borrow().clone();
+        results
     }
 
     #[tokio::test]
-    async fn answers_end_the_calls_in_their_order() {
-        let got = ends(3, b"ok 2.5\r\nbusy\r\nerror\r\n").await;
-        assert_eq!(got, [(0, AddResult::Total(2.5)), (1, AddResult::NotAdded), (2, AddResult::NotAdded)]);
+    async fn answers_end_the_calls_in_order() {
+        let results = call_results(3, b"ok 2.5\r\nbusy\r\nerror\r\n").await;
+        assert_eq!(results, [(0, AddResult::Total(2.5)), (1, AddResult::NotAdded), (2, AddResult::NotAdded)]);
     }
 
     #[tokio::test]
-    async fn a_spoilt_answer_ends_all_that_is_out_and_the_connection() {
-        for script in
+    async fn an_invalid_answer_ends_all_sent_calls_and_the_connection() {
+        for answers in
             [&b"ok\r\nok 1\r\n"[..], b"ok x\r\n", b"ok nan\r\n", b"ok 1 2\r\n", b"\xff\n", &[b'a'; 200]]
         {
-            let got = ends(2, script).await;
-            assert_eq!(got, [(0, AddResult::Unknown), (1, AddResult::Unknown)], "{script:?}");
+            let results = call_results(2, answers).await;
+            assert_eq!(results, [(0, AddResult::Unknown), (1, AddResult::Unknown)], "{answers:?}");
         }
     }
 
     #[tokio::test(start_paused = true)]
-    async fn a_call_without_an_answer_ends_when_its_time_is_up() {
+    async fn a_call_without_an_answer_ends_at_its_time_out() {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let (counter, mut line) = Counter::new(Duration::from_millis(30));
-        // With the connection up beforehand, the only thing that the made-up clock can cut short is the call.
-        let at = listener.local_addr().expect("an address");
-        line.link = Some(Socket::new(TcpStream::connect(at).await.expect("a connection")));
-        let (_address, seen) = watch::channel(Some(at));
+        let (counter, mut client) = Counter::new(Duration::from_millis(30));
+        // Connects first: the paused clock would otherwise time out the connect instead of the call.
+        let address = listener.local_addr().expect("an address");
+        client.connection = Some(Socket::new(TcpStream::connect(address).await.expect("a connection")));
+        let (_address, address_receiver) = watch::channel(Some(address));
         counter.add(7, 1.0, 4000.0);
-        let (ends, mut got) = unbounded_channel();
-        let report = move |report| ends.send(report).expect("the test listens");
+        let (sender, mut events) = unbounded_channel();
+        let report = move |event| sender.send(event).expect("the test receives events");
         tokio::select! {
-            () = line.run(seen, report) => {}
-            end = got.recv() => {
-                assert_eq!(end, Some(CounterEvent::CallEnded { key: 7, result: AddResult::Unknown }));
+            () = client.run(address_receiver, report) => {}
+            event = events.recv() => {
+                assert_eq!(event, Some(CounterEvent::CallEnded { key: 7, result: AddResult::Unknown }));
             }
         }
     }
 
     #[tokio::test]
     async fn without_a_connection_nothing_is_added() {
-        let (counter, line) = Counter::new(Duration::from_secs(3600));
-        let (_address, seen) = watch::channel(None);
+        let (counter, client) = Counter::new(Duration::from_secs(3600));
+        let (_address, address_receiver) = watch::channel(None);
         counter.add(7, 1.0, 4000.0);
-        let (ends, mut got) = unbounded_channel();
-        let report = move |report| ends.send(report).expect("the test listens");
+        let (sender, mut events) = unbounded_channel();
+        let report = move |event| sender.send(event).expect("the test receives events");
         tokio::select! {
-            () = line.run(seen, report) => {}
-            end = got.recv() => {
-                assert_eq!(end, Some(CounterEvent::CallEnded { key: 7, result: AddResult::NotAdded }));
+            () = client.run(address_receiver, report) => {}
+            event = events.recv() => {
+                assert_eq!(event, Some(CounterEvent::CallEnded { key: 7, result: AddResult::NotAdded }));
             }
         }
     }
--- a/src/bin/brassport/http_connection.rs
+++ b/src/bin/brassport/http_connection.rs
@@ -1,5 +1,5 @@
-//! One HTTP/1.1 connection to a peer. Whoever holds it drives it: no task of its own stands behind it, so
-//! dropping it has closed the socket.
+//! An outgoing HTTP/1.1 connection. Its owner drives it, without a background task, so that dropping it closes the
+//! socket at once.
 
 use crate::socket::Socket;
 use http_body_util::{BodyExt, Full, Limited};
@@ -14,21 +14,21 @@
 use std::task::Poll;
 use tokio::net::TcpStream;
 
-/// Most bytes of an answer's head.
-const HEAD_LIMIT: usize = 16 * 1024;
+/// Largest head of a response, in bytes. Limits the memory that an endless head can take.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
 
-/// Why an exchange brought no whole answer.
+/// Why an exchange returned no complete response.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ExchangeError {
     /// No byte of the request was written.
     Unsent,
-    /// The connection broke, or the answer is not one of HTTP, after some of it may have been written.
+    /// The connection broke, or the response was invalid or too large; the request may have been written.
     Broken,
 }
 
 pub struct HttpConnection {
     sender: SendRequest<Full<Bytes>>,
-    /// `None` once it is over.
+    /// `None` once it has ended.
     connection: Option<Connection<TokioIo<Socket>, Full<Bytes>>>,
     socket: Socket,
 }
@@ -37,42 +37,40 @@
     pub async fn open(address: SocketAddr) -> io::Result<HttpConnection> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
-        // Guards the memory against heads that do not end.
         let mut builder = http1::Builder::new();
-        builder.max_buf_size(HEAD_LIMIT);
+        builder.max_buf_size(MAX_HEAD_BYTES);
         let socket = Socket::new(stream);
         let io = TokioIo::new(socket.clone());
         let (sender, connection) = builder.handshake(io).await.map_err(io::Error::other)?;
         Ok(HttpConnection { sender, connection: Some(connection), socket })
     }
 
-    /// Sends one request and waits for its whole answer, of `most` bytes at the most.
+    /// Sends one request and waits for its complete response, with a body of at most `max_body` bytes.
     pub async fn exchange(
         &mut self,
         request: Request<Full<Bytes>>,
-        most: usize,
+        max_body: usize,
     ) -> Result<Response<Bytes>, ExchangeError> {
         let HttpConnection { sender, connection, .. } = self;
-        // hyper hands a request back only if it never began to write it.
-        let answer = sender.try_send_request(request);
-        let answer = drive(connection, answer).await.map_err(|mut error| match error.take_message() {
+        // hyper returns the request with the error only if it has written none of it.
+        let response = sender.try_send_request(request);
+        let response = drive(connection, response).await.map_err(|mut error| match error.take_message() {
             Some(_) => ExchangeError::Unsent,
             None => ExchangeError::Broken,
         })?;
-        let (head, body) = answer.into_parts();
-        if body.size_hint().lower() > most as u64 {
+        let (head, body) = response.into_parts();
+        if body.size_hint().lower() > max_body as u64 {
             return Err(ExchangeError::Broken);
         }
-        let body = drive(connection, Limited::new(body, most).collect()).await;
-        // Guards against serving a body that was cut short: an error of the body is a broken connection.
+        let body = drive(connection, Limited::new(body, max_body).collect()).await;
+        // A truncated body must not be served, so any error of the body fails the exchange.
         let body = body.map_err(|_| ExchangeError::Broken)?.to_bytes();
         Ok(Response::from_parts(head, body))
     }
 
-    /// Whether the connection stands, with nothing come on it since its last answer, and can take a request.
-    /// Guards against sending into a connection that the peer has closed while it was idle, and against
-    /// taking what came meanwhile for the next request's answer: the system is asked, as the end or the
-    /// bytes may have come since the runtime last looked.
+    /// Whether the connection is open, has received nothing since its last response, and can take a request. A request
+    /// sent on a connection that the peer has closed would be lost, and surplus bytes would be read as its response.
+    /// Peeks at the socket, as the runtime's readiness state is only as recent as its last poll.
     pub async fn is_usable(&mut self) -> bool {
         poll_fn(|context| {
             if let Some(connection) = &mut self.connection {
@@ -87,7 +85,7 @@
     }
 }
 
-/// Waits for `work`, which the connection has to be driven for.
+/// Waits for `work` while driving the connection, without which `work` makes no progress.
 async fn drive<T>(
     connection: &mut Option<Connection<TokioIo<Socket>, Full<Bytes>>>,
     work: impl Future<Output = T>,
@@ -113,41 +111,41 @@
     use std::sync::mpsc::channel;
     use std::thread;
 
-    const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+    const RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
-    /// Whether a connection can be used again on which `late` comes behind an answer, at a moment when the
-    /// runtime has looked at its sockets for the last time before the question.
+    /// Whether a connection is usable after `late` has arrived behind a response. The runtime does not poll its sockets
+    /// between the arrival and the check.
     async fn usable_after(late: &'static [u8]) -> bool {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let at = listener.local_addr().expect("an address");
-        let (answered, wait) = channel();
-        let (told, came) = channel();
+        let address = listener.local_addr().expect("an address");
+        let (response_read, next_step) = channel();
+        let (late_sent, late_written) = channel();
         thread::spawn(move || {
             let (mut stream, _) = listener.accept().expect("a connection");
             assert!(stream.read(&mut [0; 1024]).expect("a request") > 0);
-            stream.write_all(ANSWER).expect("the answer goes out");
-            wait.recv().expect("the answer is read");
-            stream.write_all(late).expect("more goes out");
-            told.send(()).expect("the test listens");
-            // Stays open until the test is over.
-            let _ = wait.recv();
+            stream.write_all(RESPONSE).expect("the response is written");
+            next_step.recv().expect("the response is read");
+            stream.write_all(late).expect("the late bytes are written");
+            late_sent.send(()).expect("the test waits");
+            // Keeps the connection open until the test has ended.
+            let _ = next_step.recv();
         });
-        let mut link = HttpConnection::open(at).await.expect("a connection");
-        let answer = link.exchange(Request::new(Full::default()), 100).await.expect("an answer");
-        assert_eq!(answer.status(), StatusCode::OK);
-        answered.send(()).expect("the peer waits");
-        // The one thread that runs all stands still here.
-        came.recv().expect("the peer has written");
-        while !late.is_empty() && link.socket.has_no_input() {
+        let mut connection = HttpConnection::open(address).await.expect("a connection");
+        let response = connection.exchange(Request::new(Full::default()), 100).await.expect("a response");
+        assert_eq!(response.status(), StatusCode::OK);
+        response_read.send(()).expect("the peer waits");
+        // Blocks the runtime's only thread, so that the runtime cannot poll its sockets.
+        late_written.recv().expect("the peer has written");
+        while !late.is_empty() && connection.socket.has_no_input() {
             thread::yield_now();
         }
-        link.is_usable().await
+        connection.is_usable().await
     }
 
     #[tokio::test]
-    async fn what_came_behind_an_answer_is_seen_before_the_connection_is_used_again() {
+    async fn bytes_after_a_response_are_noticed_before_the_connection_is_reused() {
         assert!(usable_after(b"").await);
-        assert!(!usable_after(ANSWER).await, "a second answer would be the next request's");
+        assert!(!usable_after(RESPONSE).await, "a second response would be read as the next request's");
         assert!(!usable_after(b"noise").await);
     }
 }
--- a/src/bin/brassport/retry.rs
+++ b/src/bin/brassport/retry.rs
@@ -1,4 +1,4 @@
-//! System calls that fail for a moment, because the system is out of something or a device errs, are made again.
+//! Retries of system calls that fail temporarily, because a resource of the system is exhausted or a device fails.
 
 use crate::log;
 use rustix::io::Errno;
@@ -7,11 +7,13 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// Between a failure and the next try: at first, and at the most.
-const FIRST_PAUSE: Duration = Duration::from_millis(20);
-const LAST_PAUSE: Duration = Duration::from_millis(500);
+/// Time between the first failure and the next try.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
+/// Longest time between a failure and the next try. Shorter ones burden a system that is short of resources; longer
+/// ones delay the recovery.
+const MAX_BACKOFF: Duration = Duration::from_millis(500);
 
-/// Whether the same call may succeed a moment later.
+/// Whether the same call may succeed later.
 pub fn is_transient(error: &io::Error) -> bool {
     !matches!(
         error.kind(),
@@ -25,7 +27,7 @@
     )
 }
 
-/// Whether a failed attempt to connect says nothing of the peer: this machine could not even begin.
+/// Whether a connect failed for a reason on this machine, which says nothing about the peer.
 pub fn is_local(error: &io::Error) -> bool {
     matches!(
         Errno::from_io_error(error),
@@ -43,80 +45,83 @@
     )
 }
 
-/// The pauses between tries, each twice as long as the one before, up to a limit.
+/// Exponential back-off: each time between two tries is twice as long as the one before, up to a limit.
 #[derive(Debug)]
 pub struct Backoff {
     next: Duration,
 }
 
 impl Backoff {
-    /// The first pauses.
     pub fn new() -> Backoff {
-        Backoff { next: FIRST_PAUSE }
+        Backoff { next: INITIAL_BACKOFF }
     }
 
-    /// Logs the first failure: the tries behind it may take a while.
-    pub fn report(&self, what: &str, error: &dyn Display) {
-        if self.next == FIRST_PAUSE {
-            log::line(format!("{what} does not work for now, trying on: {error}"));
+    /// Logs the first failure of `operation`, as the retries may take a while. To be called before [`Backoff::next`].
+    pub fn report(&self, operation: &str, error: &dyn Display) {
+        if self.next == INITIAL_BACKOFF {
+            log::line(format!("{operation} failed, retrying: {error}"));
         }
     }
 
-    /// The next pause.
+    /// The time until the next try.
     pub fn next(&mut self) -> Duration {
-        let pause = self.next;
-        self.next = (2 * pause).min(LAST_PAUSE);
-        pause
+        let delay = self.next;
+        self.next = (2 * delay).min(MAX_BACKOFF);
+        delay
     }
 }
 
-/// The tries of one call.
-struct Tries<'a> {
-    what: &'a str,
-    until: Instant,
-    pauses: Backoff,
+/// The retries of one operation.
+struct Retries<'a> {
+    operation: &'a str,
+    deadline: Instant,
+    backoff: Backoff,
 }
 
-impl Tries<'_> {
-    /// The pause until the next try.
+impl Retries<'_> {
+    /// The time until the next try.
     ///
     /// # Errors
-    /// The failure itself, if it is one for good or the time is over.
-    fn pause(&mut self, error: io::Error) -> io::Result<Duration> {
-        if !is_transient(&error) || Instant::now() >= self.until {
+    /// The failure itself, if it is permanent or the deadline has passed.
+    fn delay(&mut self, error: io::Error) -> io::Result<Duration> {
+        if !is_transient(&error) || Instant::now() >= self.deadline {
             return Err(error);
         }
-        self.pauses.report(self.what, &error);
-        Ok(self.pauses.next())
+        self.backoff.report(self.operation, &error);
+        Ok(self.backoff.next())
     }
 }
 
-fn tries(patience: Duration, what: &str) -> Tries<'_> {
-    Tries { what, until: Instant::now() + patience, pauses: Backoff::new() }
+fn retries(timeout: Duration, operation: &str) -> Retries<'_> {
+    Retries { operation, deadline: Instant::now() + timeout, backoff: Backoff::new() }
 }
 
-/// Makes a call again until it succeeds, fails for good, or `patience` is over.
+/// Repeats a call until it succeeds, fails permanently, or fails after `timeout`. `operation` names it in the log.
 pub async fn retry_until<T>(
-    patience: Duration,
-    what: &str,
+    timeout: Duration,
+    operation: &str,
     mut call: impl AsyncFnMut() -> io::Result<T>,
 ) -> io::Result<T> {
-    let mut tries = tries(patience, what);
+    let mut retries = retries(timeout, operation);
     loop {
         match call().await {
             Ok(done) => return Ok(done),
-            Err(error) => sleep(tries.pause(error)?).await,
+            Err(error) => sleep(retries.delay(error)?).await,
         }
     }
 }
 
-/// The same before there is a runtime.
-pub fn blocking<T>(patience: Duration, what: &str, mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    let mut tries = tries(patience, what);
+/// Like [`retry_until`], but blocks the thread: for use before the runtime is started.
+pub fn blocking<T>(
+    timeout: Duration,
+    operation: &str,
+    mut call: impl FnMut() -> io::Result<T>,
+) -> io::Result<T> {
+    let mut retries = retries(timeout, operation);
     loop {
         match call() {
             Ok(done) => return Ok(done),
-            Err(error) => std::thread::sleep(tries.pause(error)?),
+            Err(error) => std::thread::sleep(retries.delay(error)?),
         }
     }
 }
--- a/src/bin/brassport/socket.rs
+++ b/src/bin/brassport/socket.rs
@@ -1,5 +1,4 @@
-//! A TCP socket that more than one part of the program may look at: whoever reads from it, and whoever has
-//! to know whether something stands unread in it.
+//! A TCP socket with more than one owner: one reads and writes, others check it for unread input.
 
 use socket2::SockRef;
 use std::io::{self, ErrorKind, IoSlice, Read};
@@ -10,23 +9,24 @@
 use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Whether a call is to be made again: the socket is not ready, or a signal came in between.
-fn passes(error: &io::Error) -> bool {
+/// Whether the call is to be repeated: the socket is not ready, or a signal interrupted the call.
+fn should_retry(error: &io::Error) -> bool {
     matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted)
 }
 
-/// Most bytes of one read.
+/// Largest single read, in bytes.
 const READ_SIZE: usize = 4096;
 
-/// Reads at most so many bytes behind what `bytes` holds, which takes no more memory than what has come.
+/// Appends at most `limit` bytes to `bytes`. Reads through a buffer on the stack, so that the vector grows only by what
+/// was read.
 fn append(
     bytes: &mut Vec<u8>,
-    most: usize,
+    limit: usize,
     read: impl FnOnce(&mut [u8]) -> io::Result<usize>,
 ) -> io::Result<usize> {
-    let mut room = [0; READ_SIZE];
-    let count = read(&mut room[..most.min(READ_SIZE)])?;
-    bytes.extend_from_slice(&room[..count]);
+    let mut buffer = [0; READ_SIZE];
+    let count = read(&mut buffer[..limit.min(READ_SIZE)])?;
+    bytes.extend_from_slice(&buffer[..count]);
     Ok(count)
 }
 
@@ -38,41 +38,42 @@
         Socket(Rc::new(stream))
     }
 
-    /// Reads what has come, `most` bytes at the most, behind what `bytes` holds.
+    /// Appends received bytes to `bytes`, at most `limit` of them.
     pub fn poll_read_into(
         &self,
         context: &mut Context<'_>,
-        most: usize,
+        limit: usize,
         bytes: &mut Vec<u8>,
     ) -> Poll<io::Result<usize>> {
         loop {
             ready!(self.0.poll_read_ready(context))?;
-            match append(bytes, most, |room| self.0.try_read(room)) {
-                Err(error) if passes(&error) => {}
+            match append(bytes, limit, |buffer| self.0.try_read(buffer)) {
+                Err(error) if should_retry(&error) => {}
                 read => return Poll::Ready(read),
             }
         }
     }
 
-    /// The same without waiting. It asks the system: what the runtime knows of a socket is as old as its last
-    /// look at all of them.
-    pub fn read_now(&self, most: usize, bytes: &mut Vec<u8>) -> io::Result<usize> {
+    /// Like [`Socket::poll_read_into`], without waiting. Makes the system call directly, as the runtime's readiness
+    /// state is only as recent as its last poll.
+    pub fn read_now(&self, limit: usize, bytes: &mut Vec<u8>) -> io::Result<usize> {
         let socket = SockRef::from(&*self.0);
         loop {
-            match append(bytes, most, |room| (&*socket).read(room)) {
+            match append(bytes, limit, |buffer| (&*socket).read(buffer)) {
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 read => return read,
             }
         }
     }
 
-    /// Whether the peer has ended its sending behind bytes that stand unread, as far as the runtime has looked.
+    /// Waits until the socket is readable, and returns whether the peer has closed its sending side, possibly after
+    /// bytes that are still unread. Uses the runtime's readiness state.
     pub async fn wait_for_end_of_stream(&self) -> bool {
         self.0.ready(Interest::READABLE).await.is_ok_and(|ready| ready.is_read_closed())
     }
 
-    /// Whether nothing stands in it: no byte, no end, no error. It asks the system: what the runtime knows
-    /// of a socket is as old as its last look at all of them.
+    /// Whether nothing is to be read: no byte, no end of stream, no error. Makes the system call directly, as the
+    /// runtime's readiness state is only as recent as its last poll.
     pub fn has_no_input(&self) -> bool {
         let socket = SockRef::from(&*self.0);
         let peeked = loop {
@@ -98,7 +99,7 @@
                     buffer.advance(count);
                     return Poll::Ready(Ok(()));
                 }
-                Err(error) if passes(&error) => {}
+                Err(error) if should_retry(&error) => {}
                 Err(error) => return Poll::Ready(Err(error)),
             }
         }
@@ -110,7 +111,7 @@
         loop {
             ready!(self.0.poll_write_ready(context))?;
             match self.0.try_write(bytes) {
-                Err(error) if passes(&error) => {}
+                Err(error) if should_retry(&error) => {}
                 written => return Poll::Ready(written),
             }
         }
@@ -123,7 +124,7 @@
         loop {
             ready!(self.0.poll_write_ready(context))?;
             match self.0.try_write_vectored(bytes) {
-                Err(error) if passes(&error) => {}
+                Err(error) if should_retry(&error) => {}
                 written => return Poll::Ready(written),
             }
         }
@@ -136,7 +137,7 @@
     }
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         Poll::Ready(match SockRef::from(&*self.0).shutdown(Shutdown::Write) {
-            // Its peer has closed it before.
+            // The peer has already closed the connection.
             Err(error) if error.kind() == ErrorKind::NotConnected => Ok(()),
             done => done,
         })
