--- a/tests/gateway_process/counter.rs
+++ b/tests/gateway_process/counter.rs
@@ -1,4 +1,4 @@
-//! The cap on attempts out at once, held by the counter.
+//! The concurrency limit on a customer's attempts, kept by the shared counter.
 
 use crate::peers::*;
 use serde_json::json;
@@ -14,21 +14,21 @@
 use std::thread;
 use std::time::Duration;
 
-/// A counter that answers each call with the number that the test gives, and tells it of the call. It ends each
-/// connection behind the last of the numbers for that one.
-fn counter(lives: &'static [&'static [u32]]) -> (SocketAddr, Receiver<String>) {
+/// A counter that answers the calls on each connection with the given totals, one list per connection, and passes the
+/// calls to the test. It closes a connection after its last total.
+fn counter(totals_by_connection: &'static [&'static [u32]]) -> (SocketAddr, Receiver<String>) {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a free port");
     let address = listener.local_addr().expect("an address");
     let (sender, calls) = channel();
     thread::spawn(move || {
-        for totals in lives {
-            let (stream, _) = listener.accept().expect("the front door connects");
+        for totals in totals_by_connection {
+            let (stream, _) = listener.accept().expect("the gateway connects");
             let mut lines = BufReader::new(&stream).lines();
             for total in *totals {
                 let Some(Ok(line)) = lines.next() else { return };
-                // A test that has ended listens no more.
+                // A test that has ended has dropped the receiver.
                 let _ = sender.send(line);
-                (&stream).write_all(format!("ok {total}\r\n").as_bytes()).expect("the answer goes out");
+                (&stream).write_all(format!("ok {total}\r\n").as_bytes()).expect("the answer is written");
             }
         }
     });
@@ -39,82 +39,83 @@
 fn attempts_in_flight_at_other_gateways_count_against_the_concurrency_limit() {
     let backend = Peer::start();
     let (address, calls) = counter(&[&[1, 0, 3, 2]]);
-    let front = GatewayProcess::start(&capped_config(backend.address, address));
-    let mut client = front.client();
-    let call = || calls.recv_timeout(TEST_TIMEOUT).expect("a call");
-    let asked = get("").replace("spread=1", "spread=2");
-    client.send(&asked);
-    let entered = call();
-    let name = entered.strip_prefix("add ").and_then(|rest| rest.strip_suffix(" 1 8000")).expect(&entered);
+    let gateway = GatewayProcess::start(&capped_config(backend.address, address));
+    let mut client = gateway.client();
+    let next_call = || calls.recv_timeout(TEST_TIMEOUT).expect("a call");
+    let request = get("").replace("spread=1", "spread=2");
+    client.send(&request);
+    let increment = next_call();
+    let key = increment.strip_prefix("add ").and_then(|rest| rest.strip_suffix(" 1 8000")).expect(&increment);
     backend.next().ok("served");
-    assert_eq!((client.read().status(), call()), (200, format!("add {name} -1 8000")));
-    // A third one, with its own: it goes back on no server's account.
+    assert_eq!((client.read().status(), next_call()), (200, format!("add {key} -1 8000")));
+    // The counter now returns 3, which exceeds the limit of 2: the slot is released and the request refused.
     client.send(&get("").replace("spread=1", "spread=2"));
-    assert!(call().ends_with(" 1 8000"));
+    assert!(next_call().ends_with(" 1 8000"));
     let refusal = client.read();
     assert_eq!(refusal.status(), 429);
-    assert!(refusal.header("retry-after").parse::<f64>().is_ok_and(|wait| wait > 0.0));
-    assert!(call().ends_with(" -1 8000"));
+    assert!(refusal.header("retry-after").parse::<f64>().is_ok_and(|seconds| seconds > 0.0));
+    assert!(next_call().ends_with(" -1 8000"));
 }
 
 #[test]
-fn a_counter_that_ends_an_idle_connection_is_asked_again_at_once() {
+fn a_counter_that_closes_an_idle_connection_is_called_again_at_once() {
     let backend = Peer::start();
     let (address, calls) = counter(&[&[1, 0], &[3, 2]]);
-    let front = GatewayProcess::start(&capped_config(backend.address, address));
-    let mut client = front.client();
-    let call = || calls.recv_timeout(TEST_TIMEOUT).expect("a call");
-    let asked = || get("").replace("spread=1", "spread=2");
-    client.send(&asked());
-    call();
+    let gateway = GatewayProcess::start(&capped_config(backend.address, address));
+    let mut client = gateway.client();
+    let next_call = || calls.recv_timeout(TEST_TIMEOUT).expect("a call");
+    let request = || get("").replace("spread=1", "spread=2");
+    client.send(&request());
+    next_call();
     backend.next().ok("served");
     assert_eq!(client.read().status(), 200);
-    call();
-    // The end of its connection has come by now.
+    next_call();
+    // Time for the gateway to notice that the counter has closed the connection.
     thread::sleep(Duration::from_millis(50));
-    client.send(&asked());
-    assert!(call().ends_with(" 1 8000"));
-    assert_eq!(client.read().status(), 429, "two attempts of others are out");
+    client.send(&request());
+    assert!(next_call().ends_with(" 1 8000"));
+    assert_eq!(client.read().status(), 429, "two attempts of other gateways are in flight");
 }
 
 #[test]
-fn a_counter_that_is_not_there_stops_nothing() {
+fn requests_are_served_while_the_counter_is_unreachable() {
     let backend = Peer::start();
-    for place in [json!(closed_port().to_string()), json!("nowhere"), Value::Null] {
+    for counter_address in [json!(closed_port().to_string()), json!("nowhere"), Value::Null] {
         let mut config = config(closed_port(), list(&[target("s-00000001", backend.address, "ready")]));
-        config["counter"] = place;
+        config["counter"] = counter_address;
         config["settings"]["balancers"] = json!(2);
         config["settings"]["plans"][0]["concurrency"] = json!(2);
         config["settings"]["familyInfo"]["counter"] = json!(true);
-        let front = GatewayProcess::start(&config);
-        let mut client = front.client();
+        let gateway = GatewayProcess::start(&config);
+        let mut client = gateway.client();
         client.send(&get("").replace("spread=1", "spread=2"));
         backend.next().ok("served");
         assert_eq!(client.read().status(), 200);
     }
 }
 
-// A place that an attempt has taken on one counter was given back on the one that SIGHUP had moved to meanwhile,
-// whose gauge then stood below what was out: the first call that the new counter got was `add NAME -1`. Nothing had
-// told the decisions of the move. Places that are held are taken again where the counter is now, and then given back.
+// Regression test: the slot of an attempt was taken on one counter and released on another to which SIGHUP had switched
+// meanwhile, as the decision module was not notified of the switch. The first call to the new counter was then
+// `add KEY -1`, which left its total below the number of attempts in flight. A held slot must be taken on the new
+// counter before it is released there.
 #[test]
-fn a_place_taken_on_a_counter_that_moved_is_taken_and_given_back_on_the_new_one() {
+fn a_slot_held_when_the_counter_is_replaced_is_taken_and_released_on_the_new_counter() {
     let backend = Peer::start();
     let (old_address, old_calls) = counter(&[&[1]]);
     let (new_address, new_calls) = counter(&[&[1, 0]]);
     let mut config = capped_config(backend.address, old_address);
-    let front = GatewayProcess::start(&config);
-    let mut client = front.client();
+    let gateway = GatewayProcess::start(&config);
+    let mut client = gateway.client();
     client.send(&get("").replace("spread=1", "spread=2"));
-    let entered = old_calls.recv_timeout(TEST_TIMEOUT).expect("a call");
+    let increment = old_calls.recv_timeout(TEST_TIMEOUT).expect("a call");
     let exchange = backend.next();
     config["counter"] = json!(new_address.to_string());
-    std::fs::write(&front.file, config.to_string()).expect("the file is replaced");
-    front.signal("-HUP");
-    // The signal is taken long before the answer.
+    std::fs::write(&gateway.file, config.to_string()).expect("the file is replaced");
+    gateway.signal("-HUP");
+    // Time for the gateway to reload before the response.
     thread::sleep(Duration::from_millis(300));
     exchange.ok("served");
     assert_eq!(client.read().status(), 200);
-    let call = || new_calls.recv_timeout(TEST_TIMEOUT).expect("a call");
-    assert_eq!((call(), call()), (entered.clone(), entered.replace(" 1 ", " -1 ")));
+    let next_call = || new_calls.recv_timeout(TEST_TIMEOUT).expect("a call");
+    assert_eq!((next_call(), next_call()), (increment.clone(), increment.replace(" 1 ", " -1 ")));
 }
