--- a/src/bin/brassport/http_connection.rs
+++ b/src/bin/brassport/http_connection.rs
@@ -113,7 +113,7 @@
 
     const RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
-    /// Whether a connection is usable after `late` has arrived behind a response. The runtime does not poll its sockets
+    /// Whether a connection is usable after `late` has arrived after a response. The runtime does not poll its sockets
     /// between the arrival and the check.
     async fn usable_after(late: &'static [u8]) -> bool {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
