--- a/src/bin/brassport/client_stream.rs
+++ b/src/bin/brassport/client_stream.rs
@@ -1,7 +1,7 @@
-//! A client's connection as the HTTP server reads it: one request at a time.
+//! A client connection as the HTTP server reads it: one request at a time.
 //!
-//! The server is handed the bytes of one request and no more until that one is answered. So it is known of each
-//! request when it came, whether a further one stands behind it, and whether the client has left meanwhile.
+//! The server gets the bytes of one request and no more until that request is answered. This makes known when each
+//! request arrived, whether another one is pipelined after it, and whether the client has left in the meantime.
 
 use crate::client_connections::ClientConnection;
 use crate::socket::Socket;
@@ -16,237 +16,243 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt, ReadBuf};
 use tokio::time::{sleep, timeout, Instant};
 
-/// Most bytes that are read ahead of their use.
-const AHEAD_LIMIT: usize = 16 * 1024;
-/// Room for bytes that stays with a connection while none stand in it: there may be a thousand of them.
-const KEPT_ROOM: usize = 1024;
-/// Between two looks for the end of a connection on which nothing more is read ahead.
-const END_LOOK: Duration = Duration::from_millis(20);
-/// How long what a client is still sending is read, so that it finds the answer it was given before.
-const LINGER: Duration = Duration::from_millis(2000);
-
-/// Finds the empty line that ends a head, in bytes that come in any pieces.
+/// Limit, in bytes, of what is read ahead of the server. Higher costs memory on each connection; with more than
+/// this pipelined, the end of the connection is found only by polling.
+const READ_AHEAD_LIMIT: usize = 16 * 1024;
+/// Capacity, in bytes, that an empty read-ahead buffer keeps. Higher costs memory on each of up to a thousand
+/// connections; lower costs an allocation for each request.
+const EMPTY_BUFFER_CAPACITY: usize = 1024;
+/// Interval between checks for the end of a connection whose read-ahead buffer is full. Requests of a client that
+/// has left may run on for as long.
+const END_OF_STREAM_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// How long input is still read and discarded after the last response, so that the client can receive it. A client
+/// that sends for longer may lose that response to a connection reset; a higher value holds descriptors longer.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(2000);
+
+/// Finds the empty line that ends a request head, in input of any fragmentation.
 #[derive(Debug, Default)]
-struct HeadEnd {
-    /// Whether a line with something in it has come: empty ones before a request are passed over.
-    begun: bool,
-    /// Whether something stands in the present line.
-    in_line: bool,
+struct HeadEndFinder {
+    /// Whether a line that is not empty has arrived: empty lines before a request are skipped.
+    head_started: bool,
+    /// Whether the current line has any characters.
+    line_has_text: bool,
 }
 
-impl HeadEnd {
-    /// How many of the bytes belong to the head, if it ends in them.
+impl HeadEndFinder {
+    /// The number of bytes up to the end of the head, if the head ends in `bytes`.
     fn find(&mut self, bytes: &[u8]) -> Option<usize> {
-        for (place, byte) in bytes.iter().enumerate() {
+        for (index, byte) in bytes.iter().enumerate() {
             match byte {
-                b'\n' if self.begun && !self.in_line => {
-                    *self = HeadEnd::default();
-                    return Some(place + 1);
+                b'\n' if self.head_started && !self.line_has_text => {
+                    *self = HeadEndFinder::default();
+                    return Some(index + 1);
                 }
-                b'\n' => self.in_line = false,
+                b'\n' => self.line_has_text = false,
                 b'\r' => {}
-                _ => (self.begun, self.in_line) = (true, true),
+                _ => (self.head_started, self.line_has_text) = (true, true),
             }
         }
         None
     }
 }
 
-/// What the server may be handed next.
+/// What the server may read next.
 #[derive(Debug)]
-enum Turn {
-    /// A head, up to its end.
-    Head(HeadEnd),
-    /// So many bytes of a body; whether the request is answered.
-    Body { left: u64, answered: bool },
+enum ReadPhase {
+    /// A request head, up to its end.
+    Head(HeadEndFinder),
+    /// The remaining bytes of a body, and whether its request is answered already.
+    Body { remaining: u64, answered: bool },
 }
 
-/// What has come from the client and where its use stands.
+/// Input from the client, and how much of it the server may read.
 #[derive(Debug)]
 struct Input {
-    /// Bytes that were read and not handed on.
-    ahead: Vec<u8>,
-    /// How many of them were read at the same moment, the oldest first.
-    read_at: VecDeque<(usize, Instant)>,
-    turn: Turn,
-    /// When the last byte that was handed on had been read.
-    arrived: Instant,
-    /// The moment that stands for the first read's, where the connection had to wait to be accepted.
-    waited_since: Option<Instant>,
+    /// Bytes that were read from the socket and not yet passed to the server.
+    read_ahead: Vec<u8>,
+    /// For each read of them, the number of its bytes that are left and its time, oldest first.
+    reads: VecDeque<(usize, Instant)>,
+    phase: ReadPhase,
+    /// When the last byte that was passed to the server was read from the socket.
+    last_byte_read_at: Instant,
+    /// Counts as the time of the first read if the connection had to wait to be accepted.
+    queued_since: Option<Instant>,
     ended: bool,
-    /// The server, if it waits for its turn or for bytes.
-    reader: Option<Waker>,
+    /// Wakes the server if it waits for its next request or for bytes.
+    read_waker: Option<Waker>,
 }
 
 impl Input {
-    /// Notes a read of so many bytes; none is the end.
-    fn take_in(&mut self, count: usize) {
+    /// Records a read of `count` bytes; 0 is the end of the stream.
+    fn record_read(&mut self, count: usize) {
         if count == 0 {
             self.ended = true;
             return;
         }
-        let at = self.waited_since.take().unwrap_or_else(Instant::now);
-        self.read_at.push_back((count, at));
+        let at = self.queued_since.take().unwrap_or_else(Instant::now);
+        self.reads.push_back((count, at));
     }
 
-    /// Notes a read that the server has not made. It is woken if it may have the bytes: the runtime finds them at the
-    /// socket no more, and wakes nobody for them.
-    fn take_in_ahead(&mut self, count: usize) {
-        self.take_in(count);
-        if self.is_open() {
-            self.wake_reader();
+    /// Records a read that the server did not make itself, and wakes the server if it may read the bytes: they are no
+    /// longer in the socket, so the runtime does not wake it for them.
+    fn record_read_ahead(&mut self, count: usize) {
+        self.record_read(count);
+        if self.may_read() {
+            self.wake_server();
         }
     }
 
-    fn wake_reader(&mut self) {
-        if let Some(reader) = self.reader.take() {
-            reader.wake();
+    fn wake_server(&mut self) {
+        if let Some(waker) = self.read_waker.take() {
+            waker.wake();
         }
     }
 
-    /// Hands on what the present turn allows; false if it allows nothing.
-    fn hand_on(&mut self, buffer: &mut ReadBuf<'_>) -> bool {
-        let room = self.ahead.len().min(buffer.remaining());
-        let count = match &mut self.turn {
-            Turn::Head(end) => match end.find(&self.ahead[..room]) {
+    /// Copies to `buffer` what the current phase allows; false if that is nothing.
+    fn copy_to(&mut self, buffer: &mut ReadBuf<'_>) -> bool {
+        let available = self.read_ahead.len().min(buffer.remaining());
+        let count = match &mut self.phase {
+            ReadPhase::Head(end) => match end.find(&self.read_ahead[..available]) {
                 Some(count) => {
-                    self.turn = Turn::Body { left: 0, answered: false };
+                    self.phase = ReadPhase::Body { remaining: 0, answered: false };
                     count
                 }
-                None => room,
+                None => available,
             },
-            Turn::Body { left, answered } => {
-                let count = room.min(usize::try_from(*left).unwrap_or(usize::MAX));
-                *left -= count as u64;
-                if *left == 0 && *answered {
-                    self.turn = Turn::Head(HeadEnd::default());
+            ReadPhase::Body { remaining, answered } => {
+                let count = available.min(usize::try_from(*remaining).unwrap_or(usize::MAX));
+                *remaining -= count as u64;
+                if *remaining == 0 && *answered {
+                    self.phase = ReadPhase::Head(HeadEndFinder::default());
                 }
                 count
             }
         };
-        buffer.put_slice(&self.ahead[..count]);
-        self.ahead.drain(..count);
-        if self.ahead.is_empty() {
-            self.ahead.shrink_to(KEPT_ROOM);
+        buffer.put_slice(&self.read_ahead[..count]);
+        self.read_ahead.drain(..count);
+        if self.read_ahead.is_empty() {
+            self.read_ahead.shrink_to(EMPTY_BUFFER_CAPACITY);
         }
-        let mut used = count;
-        while let Some((read, at)) = self.read_at.front_mut().filter(|_| used > 0) {
-            self.arrived = *at;
-            let part = used.min(*read);
-            (*read, used) = (*read - part, used - part);
-            if *read == 0 {
-                self.read_at.pop_front();
+        let mut copied = count;
+        while let Some((bytes_left, at)) = self.reads.front_mut().filter(|_| copied > 0) {
+            self.last_byte_read_at = *at;
+            let part = copied.min(*bytes_left);
+            (*bytes_left, copied) = (*bytes_left - part, copied - part);
+            if *bytes_left == 0 {
+                self.reads.pop_front();
             }
         }
         count > 0
     }
 
-    /// Whether the server may be handed anything now.
-    fn is_open(&self) -> bool {
-        match self.turn {
-            Turn::Head(_) => true,
-            Turn::Body { left, .. } => left > 0,
+    /// Whether the server may read anything now.
+    fn may_read(&self) -> bool {
+        match self.phase {
+            ReadPhase::Head(_) => true,
+            ReadPhase::Body { remaining, .. } => remaining > 0,
         }
     }
 }
 
-/// What the server's side and the requests' side of one connection share.
+/// The state of one connection, shared by the HTTP server's stream and the handling of its requests.
 #[derive(Debug)]
 pub struct Connection {
     socket: Socket,
     input: RefCell<Input>,
-    /// Whether something stands to be written that the client does not take for now.
+    /// Whether the last write could not proceed because the client is not reading.
     write_blocked: Cell<bool>,
 }
 
 impl Connection {
-    /// One that was accepted now. If it had to wait, what comes first may have been there since `waited_since`.
-    pub fn new(socket: Socket, waited_since: Option<Instant>) -> Rc<Connection> {
+    /// A connection that was just accepted. If it waited for that, its first bytes may have arrived as early as
+    /// `queued_since`.
+    pub fn new(socket: Socket, queued_since: Option<Instant>) -> Rc<Connection> {
         let input = Input {
-            waited_since,
-            ahead: Vec::new(),
-            read_at: VecDeque::new(),
-            turn: Turn::Head(HeadEnd::default()),
-            arrived: Instant::now(),
+            queued_since,
+            read_ahead: Vec::new(),
+            reads: VecDeque::new(),
+            phase: ReadPhase::Head(HeadEndFinder::default()),
+            last_byte_read_at: Instant::now(),
             ended: false,
-            reader: None,
+            read_waker: None,
         };
         Rc::new(Connection { socket, input: RefCell::new(input), write_blocked: Cell::new(false) })
     }
 
-    /// Notes that a head was read and that a body of so many bytes belongs to it. Returns when the head came.
-    pub fn begin_request(&self, body: u64) -> Instant {
+    /// Records that a request head with a body of `body_length` bytes was read. Returns when the head arrived.
+    pub fn begin_request(&self, body_length: u64) -> Instant {
         let mut input = self.input.borrow_mut();
-        input.turn = Turn::Body { left: body, answered: false };
-        input.wake_reader();
-        input.arrived
+        input.phase = ReadPhase::Body { remaining: body_length, answered: false };
+        input.wake_server();
+        input.last_byte_read_at
     }
 
-    /// Notes that the request is answered: the next one may be read.
+    /// Records that the request is answered, so that the next one may be read.
     pub fn end_request(&self) {
         let mut input = self.input.borrow_mut();
-        if let Turn::Body { left, .. } = input.turn {
-            input.turn = match left {
-                0 => Turn::Head(HeadEnd::default()),
-                left => Turn::Body { left, answered: true },
+        if let ReadPhase::Body { remaining, .. } = input.phase {
+            input.phase = match remaining {
+                0 => ReadPhase::Head(HeadEndFinder::default()),
+                remaining => ReadPhase::Body { remaining, answered: true },
             };
         }
-        input.wake_reader();
+        input.wake_server();
     }
 
-    /// Whether the client is known to have gone, without asking the system.
+    /// Whether the end of the stream has been read, without a system call.
     pub fn has_ended(&self) -> bool {
         self.input.borrow().ended
     }
 
-    /// Whether some of a further request has been read.
+    /// Whether bytes of another request have been read.
     pub fn has_read_ahead(&self) -> bool {
-        !self.input.borrow().ahead.is_empty()
+        !self.input.borrow().read_ahead.is_empty()
     }
 
-    /// Whether something stands to be written that the client does not take for now.
+    /// Whether the last write could not proceed because the client is not reading.
     pub fn is_write_blocked(&self) -> bool {
         self.write_blocked.get()
     }
 
-    /// Whether nothing has come that was not handed on: no byte, no end, no error.
+    /// Whether there is no input that the server has not read: no byte, no end of stream, no error.
     pub fn has_no_input(&self) -> bool {
         !self.has_read_ahead() && self.socket.has_no_input()
     }
 
-    /// Waits until the client has gone, also if its leave stands behind bytes of further requests. Only for a
-    /// request that has come whole.
-    pub async fn left(&self) {
+    /// Waits until the client has closed the connection, even if pipelined requests precede the end. Only for a
+    /// request that has arrived completely.
+    pub async fn wait_until_left(&self) {
         while !self.input.borrow().ended {
-            let room = AHEAD_LIMIT.saturating_sub(self.input.borrow().ahead.len());
+            let room = READ_AHEAD_LIMIT.saturating_sub(self.input.borrow().read_ahead.len());
             if room > 0 {
                 let read = poll_fn(|context| {
                     let mut input = self.input.borrow_mut();
-                    self.socket.poll_read_into(context, room, &mut input.ahead)
+                    self.socket.poll_read_into(context, room, &mut input.read_ahead)
                 });
-                // A connection that failed has ended.
+                // A failed connection counts as ended.
                 let count = read.await.unwrap_or(0);
-                self.input.borrow_mut().take_in_ahead(count);
+                self.input.borrow_mut().record_read_ahead(count);
             } else if self.socket.wait_for_end_of_stream().await {
                 self.input.borrow_mut().ended = true;
             } else {
-                sleep(END_LOOK).await;
+                sleep(END_OF_STREAM_POLL_INTERVAL).await;
             }
         }
     }
 
-    /// Asks the system whether the client has gone by now. Only for a request that has come whole.
+    /// Checks with system calls whether the client has closed the connection by now. Only for a request that has
+    /// arrived completely.
     pub fn has_left(&self) -> bool {
         let mut input = self.input.borrow_mut();
         while !input.ended {
-            let room = AHEAD_LIMIT.saturating_sub(input.ahead.len());
+            let room = READ_AHEAD_LIMIT.saturating_sub(input.read_ahead.len());
             if room == 0 {
                 break;
             }
-            match self.socket.read_now(room, &mut input.ahead) {
-                Ok(count) => input.take_in_ahead(count),
+            match self.socket.read_now(room, &mut input.read_ahead) {
+                Ok(count) => input.record_read_ahead(count),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
-                Err(_) => input.take_in_ahead(0),
+                Err(_) => input.record_read_ahead(0),
             }
         }
         input.ended
@@ -255,37 +261,37 @@
     fn poll_input(&self, context: &mut Context<'_>, buffer: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let mut input = self.input.borrow_mut();
         loop {
-            if !input.is_open() {
-                input.reader = Some(context.waker().clone());
+            if !input.may_read() {
+                input.read_waker = Some(context.waker().clone());
                 return Poll::Pending;
             }
-            if input.hand_on(buffer) || buffer.remaining() == 0 || input.ended {
+            if input.copy_to(buffer) || buffer.remaining() == 0 || input.ended {
                 return Poll::Ready(Ok(()));
             }
-            let Poll::Ready(read) = self.socket.poll_read_into(context, AHEAD_LIMIT, &mut input.ahead) else {
-                input.reader = Some(context.waker().clone());
+            let Poll::Ready(read) =
+                self.socket.poll_read_into(context, READ_AHEAD_LIMIT, &mut input.read_ahead)
+            else {
+                input.read_waker = Some(context.waker().clone());
                 return Poll::Pending;
             };
-            input.take_in(read?);
+            input.record_read(read?);
         }
     }
 }
 
-/// The stream that the HTTP server reads from and writes to. It tells its caller of the first byte behind an
-/// answer.
+/// The stream that the HTTP server reads from and writes to. It reports reads to the registry of connections.
 pub struct ClientStream {
     connection: Rc<Connection>,
     tracked: Rc<ClientConnection>,
 }
 
 impl ClientStream {
-    /// The stream of that connection.
     pub fn new(connection: Rc<Connection>, tracked: Rc<ClientConnection>) -> ClientStream {
         ClientStream { connection, tracked }
     }
 
-    /// Ends the sending, then reads what still comes until the client ends too, for a bounded time: closing a
-    /// socket with bytes unread would reset the connection, and the client would lose its answer.
+    /// Shuts down the sending side, then discards input until the client closes too, for a bounded time. Closing a
+    /// socket with unread input would reset the connection, and the client would lose its response.
     pub async fn linger(self) {
         let mut socket = self.connection.socket.clone();
         let drain = async {
@@ -294,8 +300,8 @@
             while socket.read(&mut bytes).await? > 0 {}
             Ok::<_, io::Error>(())
         };
-        // Its end is all that is waited for.
-        let _ = timeout(LINGER, drain).await;
+        // Only the wait matters, not its result.
+        let _ = timeout(LINGER_TIMEOUT, drain).await;
     }
 }
 
@@ -305,9 +311,9 @@
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let before = buffer.filled().len();
+        let filled_before = buffer.filled().len();
         let read = self.connection.poll_input(context, buffer);
-        if buffer.filled().len() > before {
+        if buffer.filled().len() > filled_before {
             self.tracked.bytes_read();
         }
         read
@@ -344,29 +350,29 @@
 mod tests {
     use super::*;
 
-    fn ends(text: &[u8], piece: usize) -> Vec<usize> {
-        let (mut end, mut found, mut before) = (HeadEnd::default(), Vec::new(), 0);
-        for part in text.chunks(piece) {
-            let mut rest = part;
-            while let Some(count) = end.find(rest) {
-                found.push(before + part.len() - rest.len() + count);
+    fn head_ends(text: &[u8], chunk_size: usize) -> Vec<usize> {
+        let (mut finder, mut ends, mut offset) = (HeadEndFinder::default(), Vec::new(), 0);
+        for chunk in text.chunks(chunk_size) {
+            let mut rest = chunk;
+            while let Some(count) = finder.find(rest) {
+                ends.push(offset + chunk.len() - rest.len() + count);
                 rest = &rest[count..];
             }
-            before += part.len();
+            offset += chunk.len();
         }
-        found
+        ends
     }
 
     #[test]
-    fn a_head_ends_at_its_empty_line_in_whatever_pieces_it_comes() {
+    fn head_end_is_found_at_the_empty_line_for_any_chunk_size() {
         let text = b"\r\nGET / HTTP/1.1\r\nA: b\r\n\r\nGET /2 HTTP/1.1\nC: d\n\nGET /3 HTTP/1.1\r\n";
-        for piece in [1, 2, 3, 7, 1000] {
-            assert_eq!(ends(text, piece), [26, 48], "in pieces of {piece}");
+        for chunk_size in [1, 2, 3, 7, 1000] {
+            assert_eq!(head_ends(text, chunk_size), [26, 48], "chunk size {chunk_size}");
         }
     }
 
     #[tokio::test]
-    async fn the_next_request_is_handed_on_only_behind_the_answer() {
+    async fn next_request_is_read_only_after_the_response() {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let mut client = tokio::net::TcpStream::connect(listener.local_addr().expect("an address"))
             .await
@@ -385,7 +391,7 @@
             in_time.is_ok().then(|| buffer.filled().to_vec())
         };
         assert_eq!(read().await.as_deref(), Some(&b"POST /a HTTP/1.1\r\n\r\n"[..]));
-        assert_eq!(read().await, None, "the body's length is not known yet");
+        assert_eq!(read().await, None, "the body length is not known yet");
         connection.begin_request(4);
         assert_eq!(read().await.as_deref(), Some(&b"body"[..]));
         assert_eq!(read().await, None);
@@ -394,16 +400,18 @@
         assert_eq!(read().await.as_deref(), Some(&b"GET /b HTTP/1.1\r\n\r\n"[..]));
         connection.begin_request(0);
         drop(client);
-        timeout(Duration::from_secs(5), connection.left()).await.expect("the leave is noticed");
+        timeout(Duration::from_secs(5), connection.wait_until_left())
+            .await
+            .expect("the client's close is detected");
         connection.end_request();
         assert_eq!(read().await.as_deref(), Some(&b"GET"[..]));
-        assert_eq!(read().await.as_deref(), Some(&b""[..]), "then the end");
+        assert_eq!(read().await.as_deref(), Some(&b""[..]), "end of stream");
     }
 
-    // The system was asked whether the client had left while the server waited for the next head: that read the head,
-    // and as the runtime found nothing at the socket any more it woke nobody (soak, hard seed 60002: never answered).
+    // `has_left`, called while the server waits for the next head, may read that head from the socket. The runtime does
+    // not wake the server for it: before `has_left` did, such a request was never answered (soak, hard seed 60002).
     #[tokio::test]
-    async fn a_request_that_is_read_ahead_while_the_server_waits_for_it_is_handed_on() {
+    async fn request_read_ahead_while_the_server_waits_wakes_the_server() {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
         let mut client = std::net::TcpStream::connect(address).expect("it connects");
@@ -413,14 +421,14 @@
         let reading = async move {
             let mut bytes = [0; 100];
             let mut buffer = ReadBuf::new(&mut bytes);
-            poll_fn(|context| read_by.poll_input(context, &mut buffer)).await.expect("it stands");
+            poll_fn(|context| read_by.poll_input(context, &mut buffer)).await.expect("the connection works");
             buffer.filled().to_vec()
         };
         let test = async {
-            // In a task of its own, as nothing else wakes it.
+            // In a separate task, so that only `has_left` can wake it.
             let server = tokio::task::spawn_local(reading);
             tokio::task::yield_now().await;
-            // The one thread that runs all stands still until the request is there.
+            // Blocks the runtime's only thread until the request is in the socket.
             std::io::Write::write_all(&mut client, b"GET /a HTTP/1.1\r\n\r\n").expect("it is sent");
             while connection.socket.has_no_input() {
                 std::thread::yield_now();
--- a/src/bin/brassport/clients.rs
+++ b/src/bin/brassport/clients.rs
@@ -338,7 +338,7 @@
     let answer = tokio::select! {
         biased;
         answer = pending_answer.answer(deadline) => answer,
-        () = client.left() => return Err(text_response(StatusCode::BAD_REQUEST, "its client has gone")),
+        () = client.wait_until_left() => return Err(text_response(StatusCode::BAD_REQUEST, "its client has gone")),
     };
     Ok(match answer {
         Answer::Served(served) => {
