--- a/src/bin/brassport/client_connections.rs
+++ b/src/bin/brassport/client_connections.rs
@@ -1,4 +1,4 @@
-//! The clients' connections as such: how far each has come, which of them to close, and how.
+//! The registry of client connections: the stage of each, its time-outs, and which to close when descriptors run out.
 
 use crate::client_stream::Connection;
 use std::cell::{Cell, RefCell};
@@ -8,191 +8,205 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// How long all of a request may take to come, from the connection's start or its own first byte: a client
-/// that has not asked by then is owed an end within 3 s.
-const ASKING: Duration = Duration::from_millis(2500);
-/// Most of that which goes by before the connection is accepted: what came meanwhile has yet to be read.
-const MOST_WAIT: Duration = Duration::from_millis(2000);
-/// How long a connection may stand idle behind an answer, what is long when there are many or room is short,
-/// and how long it may in any case: its client may not have got all of the answer yet.
-const IDLE: Duration = Duration::from_secs(10);
-const LONG_IDLE: Duration = Duration::from_secs(2);
-const LEAST_IDLE: Duration = Duration::from_millis(300);
-/// A client that has sent nothing for that long is not about to.
-const SHY: Duration = Duration::from_millis(100);
+/// How long a whole request may take to arrive, from the start of the connection or from its first byte. A client
+/// whose request has not arrived must be closed within 3 s, so higher leaves too little time for that; lower cuts off
+/// slow clients.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
+/// How much of the request time-out the wait to be accepted may use up at most. The rest remains to read what arrived
+/// during that wait, so this must stay below the time-out.
+const MAX_QUEUE_WAIT: Duration = Duration::from_millis(2000);
+/// How long a connection may be idle after a response. Shorter makes clients reconnect more often; longer keeps
+/// descriptors for clients that do not come back.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// The same when there are many connections. When descriptors run out, connections that were idle for this long are
+/// closed before other idle ones.
+const CROWDED_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
+/// An idle connection is not closed sooner than this, except at a shutdown: its client may not have received all of
+/// the response yet. With many connections it is the time-out of one with a single request.
+const MIN_IDLE: Duration = Duration::from_millis(300);
+/// A client that has sent nothing for this long on a new connection is not expected to send a request soon, so the
+/// connection may be closed at a shutdown or when descriptors run out. Shorter closes connections whose first request
+/// is on its way; longer holds descriptors and delays the shutdown.
+const SILENT_AFTER: Duration = Duration::from_millis(100);
 
-/// What a connection is at.
+/// The stage that a connection is in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
-    /// No whole request has come on it yet.
+    /// No complete request has arrived on it yet.
     New,
-    /// A request is in hand.
+    /// A request is being handled: its head has arrived and it is not answered yet.
     InRequest,
-    /// Answered, with nothing of a further request.
+    /// Its last request is answered and nothing of another one has arrived.
     Idle,
-    /// Some of a further request has come.
+    /// Part of another request has arrived.
     ReceivingRequest,
-    /// What came made no sense; the answer that says so is the last.
+    /// It had its last response, a refusal or an error, and is about to close.
     Last,
-    /// It was told to close.
+    /// Its close was requested.
     Closing,
 }
 
-/// What the close of a connection ends.
+/// What a connection was doing when its close was requested.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CloseReason {
-    /// Nobody asks on it.
+    /// Nothing: no request was being received or handled.
     Unused,
-    /// A request that has come in part and took too long.
+    /// Receiving a request, which took too long.
     PartialRequest,
-    /// It had its last answer.
+    /// Waiting for its client to close after the last response.
     Answered,
 }
 
 #[derive(Debug)]
-struct State {
+struct ConnectionState {
     stage: Cell<Stage>,
+    /// When the time-out of the stage began.
     since: Cell<Instant>,
-    /// Requests so far.
-    asked: Cell<u32>,
-    /// Whether something of the request that is to come next has been read.
-    begun: Cell<bool>,
-    /// What it was at when it was told to close.
-    left: Cell<Stage>,
-    dismiss: Notify,
+    request_count: Cell<u32>,
+    /// Whether part of the next request has been read.
+    next_request_begun: Cell<bool>,
+    /// The stage in which its close was requested.
+    stage_before_close: Cell<Stage>,
+    close_requested: Notify,
 }
 
-impl State {
-    fn leave(&self) {
-        self.left.set(self.stage.replace(Stage::Closing));
-        self.dismiss.notify_one();
+impl ConnectionState {
+    fn request_close(&self) {
+        self.stage_before_close.set(self.stage.replace(Stage::Closing));
+        self.close_requested.notify_one();
     }
-    /// Whether nobody has begun to ask on it.
-    fn unused(&self) -> bool {
-        let stage = if self.stage.get() == Stage::Closing { self.left.get() } else { self.stage.get() };
-        matches!(stage, Stage::New | Stage::Idle) && !self.begun.get()
+    /// Whether no request is being received or handled on it.
+    fn is_unused(&self) -> bool {
+        let stage =
+            if self.stage.get() == Stage::Closing { self.stage_before_close.get() } else { self.stage.get() };
+        matches!(stage, Stage::New | Stage::Idle) && !self.next_request_begun.get()
     }
-    fn overdue(&self, many: bool, closing: bool) -> bool {
-        let most = match self.stage.get() {
+    /// Whether the time-out of its stage has expired.
+    fn is_overdue(&self, many_connections: bool, closing: bool) -> bool {
+        let time_limit = match self.stage.get() {
             Stage::Idle if closing => Duration::ZERO,
-            Stage::New if closing && self.unused() => SHY,
-            Stage::New | Stage::ReceivingRequest => ASKING,
-            Stage::Idle if many && self.asked.get() <= 1 => LEAST_IDLE,
-            Stage::Idle if many => LONG_IDLE,
-            Stage::Idle | Stage::Last => IDLE,
+            Stage::New if closing && self.is_unused() => SILENT_AFTER,
+            Stage::New | Stage::ReceivingRequest => REQUEST_TIMEOUT,
+            Stage::Idle if many_connections && self.request_count.get() <= 1 => MIN_IDLE,
+            Stage::Idle if many_connections => CROWDED_IDLE_TIMEOUT,
+            Stage::Idle | Stage::Last => IDLE_TIMEOUT,
             Stage::InRequest | Stage::Closing => return false,
         };
-        self.since.get().elapsed() >= most
+        self.since.get().elapsed() >= time_limit
     }
 }
 
-/// All connections of clients, in the order in which they came.
+/// All client connections, in the order in which they were accepted.
 #[derive(Debug, Default)]
 pub struct ClientConnections {
-    all: RefCell<BTreeMap<u64, Rc<State>>>,
-    last: Cell<u64>,
+    by_number: RefCell<BTreeMap<u64, Rc<ConnectionState>>>,
+    last_number: Cell<u64>,
 }
 
 impl ClientConnections {
-    /// Enters a connection that was accepted now and may have waited for that since some time.
-    pub fn register(self: &Rc<Self>, waited_since: Option<Instant>) -> ClientConnection {
+    /// Adds a connection that was just accepted and may have been waiting for that since `queued_since`.
+    pub fn register(self: &Rc<Self>, queued_since: Option<Instant>) -> ClientConnection {
         let now = Instant::now();
-        let earliest = now.checked_sub(MOST_WAIT).unwrap_or(now);
-        let number = self.last.get() + 1;
-        self.last.set(number);
-        let state = Rc::new(State {
+        let earliest = now.checked_sub(MAX_QUEUE_WAIT).unwrap_or(now);
+        let number = self.last_number.get() + 1;
+        self.last_number.set(number);
+        let state = Rc::new(ConnectionState {
             stage: Cell::new(Stage::New),
-            since: Cell::new(waited_since.map_or(now, |since| since.max(earliest))),
-            asked: Cell::new(0),
-            begun: Cell::new(false),
-            left: Cell::new(Stage::New),
-            dismiss: Notify::new(),
+            since: Cell::new(queued_since.map_or(now, |since| since.max(earliest))),
+            request_count: Cell::new(0),
+            next_request_begun: Cell::new(false),
+            stage_before_close: Cell::new(Stage::New),
+            close_requested: Notify::new(),
         });
-        self.all.borrow_mut().insert(number, state.clone());
-        ClientConnection { all: self.clone(), number, state }
+        self.by_number.borrow_mut().insert(number, state.clone());
+        ClientConnection { registry: self.clone(), number, state }
     }
 
-    /// How many were told to close and have not yet.
+    /// The number of connections that were requested to close and are still open.
     pub fn closing_count(&self) -> usize {
-        self.all.borrow().values().filter(|state| state.stage.get() == Stage::Closing).count()
+        self.by_number.borrow().values().filter(|state| state.stage.get() == Stage::Closing).count()
     }
 
-    /// Closes the connection whose client has the least use for it: one that has had its last answer, else
-    /// one that had time to ask and did not, else
-    /// one idle for long, else one idle that asked only once, else one still new, else any idle one. False if
-    /// there is none.
+    /// Closes the connection that its client is least likely to use again; false if there is none to close. The order
+    /// is: after its last response, new and silent, idle for long, idle after a single request, new, any other idle.
+    /// Of several the one longest in its stage is closed.
     pub fn shed(&self) -> bool {
-        let all = self.all.borrow();
-        let longest = |stage, most_asked, least| {
-            let fits = |state: &&Rc<State>| state.stage.get() == stage && state.asked.get() <= most_asked;
-            let longest = all.values().filter(fits).min_by_key(|state| state.since.get());
-            longest.filter(|state| state.since.get().elapsed() >= least)
+        let all = self.by_number.borrow();
+        let longest_in = |stage, max_requests, min_time| {
+            let matches = |state: &&Rc<ConnectionState>| {
+                state.stage.get() == stage && state.request_count.get() <= max_requests
+            };
+            let longest = all.values().filter(matches).min_by_key(|state| state.since.get());
+            longest.filter(|state| state.since.get().elapsed() >= min_time)
         };
-        // Guards against crowds that ask once and stay: they hold what newcomers need, and are back at once.
-        let chosen = longest(Stage::Last, u32::MAX, SHY)
-            .or_else(|| longest(Stage::New, 0, SHY))
-            .or_else(|| longest(Stage::Idle, u32::MAX, LONG_IDLE))
-            .or_else(|| longest(Stage::Idle, 1, LEAST_IDLE))
-            .or_else(|| longest(Stage::New, 0, Duration::ZERO))
-            .or_else(|| longest(Stage::Idle, u32::MAX, LEAST_IDLE));
+        // Many clients that send one request and stay connected would hold the descriptors that new clients need;
+        // when closed they can reconnect at once.
+        let chosen = longest_in(Stage::Last, u32::MAX, SILENT_AFTER)
+            .or_else(|| longest_in(Stage::New, 0, SILENT_AFTER))
+            .or_else(|| longest_in(Stage::Idle, u32::MAX, CROWDED_IDLE_TIMEOUT))
+            .or_else(|| longest_in(Stage::Idle, 1, MIN_IDLE))
+            .or_else(|| longest_in(Stage::New, 0, Duration::ZERO))
+            .or_else(|| longest_in(Stage::Idle, u32::MAX, MIN_IDLE));
         if let Some(state) = chosen {
-            state.leave();
+            state.request_close();
         }
         chosen.is_some()
     }
 
-    /// Closes the connections whose time is up. Guards against clients that are kept out by connections of
-    /// their own: what is in front of here may hold only so many, and a crowd that asks once and stays, that
-    /// comes with a new connection each time or that closes late fills them up, long before descriptors run
-    /// out here. Beyond `few` connections, an idle one has less time. Hurts a client in a crowd that asks
-    /// rarely: it has to connect anew. At a shutdown, `closing`, those that nobody asks on have no more time.
-    pub fn sweep(&self, few: usize, closing: bool) {
-        let all = self.all.borrow();
-        let many = all.len() > few;
-        for state in all.values().filter(|state| state.overdue(many, closing)) {
-            state.leave();
+    /// Closes the connections whose time-outs have expired. With more than `many_threshold` connections idle ones have
+    /// shorter time-outs, and at a shutdown (`closing`) unused ones have next to none.
+    ///
+    /// A proxy in front of this gateway may allow only a limited number of connections. Many clients that send one
+    /// request and stay, open a new connection for each request or close late would use them all up long before
+    /// descriptors run out here. The cost is that a client with rare requests has to reconnect when there are many.
+    pub fn sweep(&self, many_threshold: usize, closing: bool) {
+        let all = self.by_number.borrow();
+        let many_connections = all.len() > many_threshold;
+        for state in all.values().filter(|state| state.is_overdue(many_connections, closing)) {
+            state.request_close();
         }
     }
 }
 
-/// One client's connection among all; it is taken off when this is dropped.
+/// The entry of one connection in the registry; it is removed when this is dropped.
 pub struct ClientConnection {
-    all: Rc<ClientConnections>,
+    registry: Rc<ClientConnections>,
     number: u64,
-    state: Rc<State>,
+    state: Rc<ConnectionState>,
 }
 
 impl ClientConnection {
-    /// Notes a new stage. What was told to close stays so only until it turns out to be in use.
+    /// Records a new stage. This withdraws a requested close, as the connection turned out to be in use.
     pub fn set_stage(&self, stage: Stage) {
-        // A request's time begins with its first byte, not when all of its head is there.
-        let begun = matches!(self.stage(), Stage::New | Stage::ReceivingRequest) && stage == Stage::InRequest;
-        if !begun {
+        // The time-out of a request runs from its first byte, not from the end of its head.
+        let head_complete =
+            matches!(self.stage(), Stage::New | Stage::ReceivingRequest) && stage == Stage::InRequest;
+        if !head_complete {
             self.state.since.set(Instant::now());
         }
-        self.state.begun.set(stage == Stage::ReceivingRequest);
+        self.state.next_request_begun.set(stage == Stage::ReceivingRequest);
         if stage == Stage::InRequest {
-            self.state.asked.set(self.state.asked.get().saturating_add(1));
+            self.state.request_count.set(self.state.request_count.get().saturating_add(1));
         }
         self.state.stage.set(stage);
     }
     pub fn stage(&self) -> Stage {
         self.state.stage.get()
     }
-    /// When all of the request that is coming in must be there.
+    /// When the request that is arriving must be complete.
     pub fn request_deadline(&self) -> Instant {
-        self.state.since.get() + ASKING
+        self.state.since.get() + REQUEST_TIMEOUT
     }
-    /// Waits until the connection is to close, and tells what that ends. Whether a request came meanwhile is
-    /// asked of the system: it is not closed on one, read or not.
+    /// Waits until the connection has to close, and returns what it was doing. If part of a request has arrived, read
+    /// or not, an unused connection stays open; that is checked with a system call.
     pub async fn close_requested(&self, connection: &Connection) -> CloseReason {
         loop {
-            self.state.dismiss.notified().await;
+            self.state.close_requested.notified().await;
             if self.stage() != Stage::Closing {
                 continue;
             }
-            if !self.state.unused() {
-                return match self.state.left.get() {
+            if !self.state.is_unused() {
+                return match self.state.stage_before_close.get() {
                     Stage::New | Stage::ReceivingRequest => CloseReason::PartialRequest,
                     _ => CloseReason::Answered,
                 };
@@ -203,18 +217,18 @@
             self.set_stage(Stage::ReceivingRequest);
         }
     }
-    /// Notes that something of a request was read.
+    /// Records that part of a request was read.
     pub fn bytes_read(&self) {
         match self.stage() {
             Stage::Idle => self.set_stage(Stage::ReceivingRequest),
-            Stage::Closing if self.state.unused() => self.set_stage(Stage::ReceivingRequest),
-            _ => self.state.begun.set(true),
+            Stage::Closing if self.state.is_unused() => self.set_stage(Stage::ReceivingRequest),
+            _ => self.state.next_request_begun.set(true),
         }
     }
 }
 
 impl Drop for ClientConnection {
     fn drop(&mut self) {
-        self.all.all.borrow_mut().remove(&self.number);
+        self.registry.by_number.borrow_mut().remove(&self.number);
     }
 }
