--- a/src/bin/brassport/acceptor.rs
+++ b/src/bin/brassport/acceptor.rs
@@ -1,4 +1,4 @@
-//! The listening socket. It knows since when connections may have been waiting in the system's queue.
+//! The listening socket. It records since when connections may have been waiting in the kernel's queue.
 
 use std::cell::Cell;
 use std::future::poll_fn;
@@ -12,20 +12,22 @@
 use tokio::task::yield_now;
 use tokio::time::{sleep, Instant};
 
-/// Failures in a row that are taken for momentary: the next accept follows at once, as all that wait lose time.
-const MOMENTARY: u32 = 8;
-/// Behind more of them the system is out of something: at first, and at the most, it is left alone for so long.
+/// Consecutive failures after which the next accept still follows at once, as every waiting connection loses time. More
+/// of them would keep the processor busy with accepts that fail; fewer would delay connections for a brief fault.
+const IMMEDIATE_RETRIES: u32 = 8;
+/// The first and the longest pause after more failures, which mean that the system lacks a resource. Pauses that are
+/// too short keep the processor busy with accepts that fail; too long ones delay all waiting connections.
 const FIRST_BACK_OFF: Duration = Duration::from_millis(1);
-const LAST_BACK_OFF: Duration = Duration::from_millis(16);
+const MAX_BACK_OFF: Duration = Duration::from_millis(16);
 
-/// The longest queue of connections that wait to be accepted; the system cuts it to `net.core.somaxconn`.
-const LONGEST_QUEUE: u32 = i32::MAX.unsigned_abs();
+/// Connections that may wait to be accepted; the kernel reduces this to `net.core.somaxconn`.
+const LISTEN_BACKLOG: u32 = i32::MAX.unsigned_abs();
 
-/// Listens on that address, with the longest queue that the system lets one have: to a queue that is full a client
-/// connects a second late, or believes to be connected and is not heard for as long.
+/// Listens on an address with the longest queue that the kernel allows. When the queue is full a client connects a
+/// second late, or takes itself for connected and gets no response for as long.
 ///
 /// # Errors
-/// What the system says of it.
+/// The error of the system call that failed.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = match address {
         SocketAddr::V4(_) => TcpSocket::new_v4(),
@@ -33,31 +35,31 @@
     }?;
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
-    socket.listen(LONGEST_QUEUE)
+    socket.listen(LISTEN_BACKLOG)
 }
 
-/// A connection that was accepted.
+/// An accepted connection.
 pub struct Accepted {
     pub stream: TcpStream,
-    /// Its descriptor among those that the program may have.
+    /// The permit for its file descriptor, out of those that the process may have open.
     pub descriptor: OwnedSemaphorePermit,
-    /// Since when what the client sent first may have been there, if it had to wait.
-    pub waited_since: Option<Instant>,
+    /// Since when its first input may have been waiting in the kernel, if the connection had to wait.
+    pub queued_since: Option<Instant>,
 }
 
 /// The listening socket.
 pub struct Acceptor {
     listener: TcpListener,
     descriptors: Arc<Semaphore>,
-    /// Since when connections could not be accepted, until the queue is seen empty.
+    /// Since when connections could not be accepted; `None` once the queue was found empty.
     stalled_since: Cell<Option<Instant>>,
-    /// Failures since the last connection.
+    /// Failures to accept since the last success.
     failures: Cell<u32>,
 }
 
 impl Acceptor {
-    /// The acceptor of that socket, with the descriptors that the program may have. Connections may have been
-    /// waiting since it listens.
+    /// `descriptors` has a permit for each file descriptor that the process may open. Connections may have been waiting
+    /// since `listening_since`.
     pub fn new(listener: TcpListener, descriptors: Arc<Semaphore>, listening_since: Instant) -> Acceptor {
         Acceptor {
             listener,
@@ -67,26 +69,26 @@
         }
     }
 
-    /// Whether connections may be waiting that could not be accepted.
+    /// Whether connections may be waiting because they could not be accepted.
     pub fn is_stalled(&self) -> bool {
         self.stalled_since.get().is_some()
     }
 
-    fn stall(&self) {
+    fn mark_stalled(&self) {
         self.stalled_since.set(self.stalled_since.get().or(Some(Instant::now())));
     }
 
-    /// The next connection, once there is a descriptor for it. May be dropped at any time.
+    /// Accepts the next connection once there is a descriptor for it. Cancel-safe.
     pub async fn accept(&self) -> Accepted {
         loop {
-            let descriptor = self.descriptor().await;
+            let descriptor = self.acquire_descriptor().await;
             match poll_fn(|context| self.poll_accept(context)).await {
                 Ok(stream) => {
                     self.failures.set(0);
-                    return Accepted { stream, descriptor, waited_since: self.stalled_since.get() };
+                    return Accepted { stream, descriptor, queued_since: self.stalled_since.get() };
                 }
                 Err(_) => {
-                    self.stall();
+                    self.mark_stalled();
                     self.failures.set(self.failures.get().saturating_add(1));
                     match back_off(self.failures.get()) {
                         Some(pause) => sleep(pause).await,
@@ -97,14 +99,14 @@
         }
     }
 
-    async fn descriptor(&self) -> OwnedSemaphorePermit {
+    async fn acquire_descriptor(&self) -> OwnedSemaphorePermit {
         if let Ok(descriptor) = self.descriptors.clone().try_acquire_owned() {
             return descriptor;
         }
-        self.stall();
+        self.mark_stalled();
         match self.descriptors.clone().acquire_owned().await {
             Ok(descriptor) => descriptor,
-            // It is never closed.
+            // The semaphore is never closed.
             Err(_) => std::future::pending().await,
         }
     }
@@ -118,10 +120,10 @@
     }
 }
 
-/// How long the system is left alone behind so many failures in a row.
+/// The pause after so many consecutive failures; `None` to retry at once.
 fn back_off(failures: u32) -> Option<Duration> {
-    let doublings = failures.checked_sub(MOMENTARY + 1)?;
-    Some((FIRST_BACK_OFF * 2u32.saturating_pow(doublings.min(16))).min(LAST_BACK_OFF))
+    let doublings = failures.checked_sub(IMMEDIATE_RETRIES + 1)?;
+    Some((FIRST_BACK_OFF * 2u32.saturating_pow(doublings.min(16))).min(MAX_BACK_OFF))
 }
 
 #[cfg(test)]
@@ -129,11 +131,13 @@
     use super::*;
 
     #[test]
-    fn some_failures_in_a_row_cost_no_time_and_more_of_them_little() {
-        assert_eq!((1..=MOMENTARY).find_map(back_off), None);
-        let pauses: Vec<u128> =
-            (MOMENTARY + 1..MOMENTARY + 8).filter_map(back_off).map(|pause| pause.as_millis()).collect();
+    fn first_failures_are_retried_at_once_and_further_ones_with_growing_pauses() {
+        assert_eq!((1..=IMMEDIATE_RETRIES).find_map(back_off), None);
+        let pauses: Vec<u128> = (IMMEDIATE_RETRIES + 1..IMMEDIATE_RETRIES + 8)
+            .filter_map(back_off)
+            .map(|pause| pause.as_millis())
+            .collect();
         assert_eq!(pauses, [1, 2, 4, 8, 16, 16, 16]);
-        assert_eq!(back_off(u32::MAX), Some(LAST_BACK_OFF));
+        assert_eq!(back_off(u32::MAX), Some(MAX_BACK_OFF));
     }
 }
--- a/src/bin/brassport/clients.rs
+++ b/src/bin/brassport/clients.rs
@@ -134,7 +134,7 @@
             accepted = acceptor.accept() => {
                 was_empty = false;
                 let refuse_all = !free_descriptors(reserve);
-                let tracked = client_connections.register(accepted.waited_since);
+                let tracked = client_connections.register(accepted.queued_since);
                 connections.spawn_local(handle_connection(accepted, context.clone(), refuse_all, tracked));
             }
             _ = sweep_timer.tick() => {
@@ -159,12 +159,12 @@
     refuse_all: bool,
     tracked: ClientConnection,
 ) {
-    let Accepted { stream, descriptor: _descriptor, waited_since } = accepted;
+    let Accepted { stream, descriptor: _descriptor, queued_since } = accepted;
     let port = stream.peer_addr().map_or(0, |address| address.port());
     log::trace(port, || {
-        format!("connection accepted, refuse_all {refuse_all}, queued {}", waited_since.is_some())
+        format!("connection accepted, refuse_all {refuse_all}, queued {}", queued_since.is_some())
     });
-    let end = serve_connection(stream, waited_since, context, refuse_all, tracked).await;
+    let end = serve_connection(stream, queued_since, context, refuse_all, tracked).await;
     log::trace(port, || format!("connection closed: {end}"));
 }
 
@@ -190,7 +190,7 @@
 
 async fn serve_connection(
     stream: TcpStream,
-    waited_since: Option<Instant>,
+    queued_since: Option<Instant>,
     context: Rc<ServeContext>,
     refuse_all: bool,
     tracked: ClientConnection,
@@ -198,8 +198,8 @@
     let _ = stream.set_nodelay(true);
     let tracked = Rc::new(tracked);
     let socket = Socket::new(stream);
-    let waited_since = waited_since.filter(|_| !socket.has_no_input());
-    let client = Connection::new(socket, waited_since);
+    let queued_since = queued_since.filter(|_| !socket.has_no_input());
+    let client = Connection::new(socket, queued_since);
     let client_stream = ClientStream::new(client.clone(), tracked.clone());
     let service = service_fn(|request: Request<Incoming>| {
         tracked.set_stage(Stage::InRequest);
