--- a/src/bin/brassport/clients.rs
+++ b/src/bin/brassport/clients.rs
@@ -214,8 +214,9 @@
             tracked.set_stage(if response.is_err() { Stage::Last } else { Stage::Idle });
             // Pipelined requests that have arrived are answered before the connection closes. `has_left` reads
             // all bytes that have arrived, so `has_read_ahead` comes after it.
-            let leaving = *context.phase.borrow() != Phase::Serving;
-            let last = response.is_err() || (leaving && (client.has_left() || !client.has_read_ahead()));
+            let shutting_down = *context.phase.borrow() != Phase::Serving;
+            let last =
+                response.is_err() || (shutting_down && (client.has_left() || !client.has_read_ahead()));
             client.end_request();
             let (Ok(mut response) | Err(mut response)) = response;
             if last {
