--- a/tests/gateway_process/shutdown.rs
+++ b/tests/gateway_process/shutdown.rs
@@ -1,4 +1,4 @@
-//! SIGTERM: what is in hand is finished, and what comes is answered.
+//! Shutdown at SIGTERM: open requests are finished and new ones still answered.
 
 use crate::peers::*;
 use serde_json::json;
@@ -8,21 +8,21 @@
 use std::time::Instant;
 
 #[test]
-fn sigterm_ends_it_in_order() {
+fn sigterm_finishes_open_requests_closes_idle_connections_and_exits() {
     let backend = Peer::start();
-    let mut front = GatewayProcess::before(&[backend.address]);
-    let mut idle = front.client();
+    let mut gateway = GatewayProcess::before(&[backend.address]);
+    let mut idle = gateway.client();
     idle.send(&get(""));
     backend.next().ok("");
     assert_eq!(idle.read().status(), 200);
-    let mut busy = front.client();
-    busy.send(&post("in hand"));
-    let in_hand = backend.next();
-    front.terminate();
-    // Until the signal has come, answers keep their connections.
+    let mut busy = gateway.client();
+    busy.send(&post("open request"));
+    let open_exchange = backend.next();
+    gateway.terminate();
+    // Until the gateway has received the signal, responses leave connections open.
     let until = Instant::now() + TEST_TIMEOUT;
     loop {
-        let mut late = front.client();
+        let mut late = gateway.client();
         late.send(&get(""));
         backend.next().ok("late");
         let answer = late.read();
@@ -30,51 +30,51 @@
         if answer.header("connection") == "close" {
             break;
         }
-        assert!(Instant::now() < until, "the signal does nothing");
+        assert!(Instant::now() < until, "the signal has no effect");
     }
     let mut byte = [0];
     assert_eq!(idle.stream.read(&mut byte).expect("an orderly end"), 0, "idle connections are closed");
-    in_hand.ok("finished");
+    open_exchange.ok("finished");
     let answer = busy.read();
     assert_eq!((answer.status(), answer.header("connection")), (200, "close"));
-    assert!(front.child.wait().expect("it ends").success());
+    assert!(gateway.child.wait().expect("it ends").success());
 }
 
 #[test]
-fn sigterm_ends_it_though_a_backend_is_silent() {
+fn sigterm_exits_in_time_although_a_backend_does_not_answer() {
     let backend = Peer::start();
     let mut config = config(closed_port(), list(&[target("s-00000001", backend.address, "ready")]));
     config["settings"]["classes"][1]["deadline"] = json!(12_000.0);
-    let mut front = GatewayProcess::start(&config);
-    let mut client = front.client();
+    let mut gateway = GatewayProcess::start(&config);
+    let mut client = gateway.client();
     client.send(&post("a job").replace("4000m", "12000m"));
     let _silent = backend.next();
-    let asked = Instant::now();
-    front.terminate();
+    let signalled_at = Instant::now();
+    gateway.terminate();
     assert_eq!(client.read().status(), 504);
-    assert!(front.child.wait().expect("it ends").success());
-    // SIGKILL may come after 3.7 s, however long the client would wait; the rest is for a slow machine.
-    assert!(asked.elapsed() < Duration::from_millis(8000), "it took {:?}", asked.elapsed());
+    assert!(gateway.child.wait().expect("it ends").success());
+    // SIGKILL may follow 3.7 s after SIGTERM, however long the client would wait; the rest allows for a slow machine.
+    assert!(signalled_at.elapsed() < Duration::from_millis(8000), "it took {:?}", signalled_at.elapsed());
 }
 
-/// Waits until the front door has taken the signal: it is not ready any more.
-fn wait_until_leaving(front: &GatewayProcess) {
+/// Waits until the gateway has received the signal: its health check fails from then on.
+fn wait_until_unhealthy(gateway: &GatewayProcess) {
     let until = Instant::now() + TEST_TIMEOUT;
-    let ask = "GET /healthz HTTP/1.1\r\nHost: backend.local\r\n\r\n";
-    while front.client().send(ask).read().status() == 200 {
-        assert!(Instant::now() < until, "the signal does nothing");
+    let health_check = "GET /healthz HTTP/1.1\r\nHost: backend.local\r\n\r\n";
+    while gateway.client().send(health_check).read().status() == 200 {
+        assert!(Instant::now() < until, "the signal has no effect");
     }
 }
 
-/// Waits until the front door closes what nobody asks on.
-fn wait_until_closing(front: &GatewayProcess, idle: &mut Client) {
-    wait_until_leaving(front);
+/// Waits until the gateway closes idle connections.
+fn wait_until_idle_connections_close(gateway: &GatewayProcess, idle: &mut Client) {
+    wait_until_unhealthy(gateway);
     idle.expect_close();
 }
 
-/// One that was answered and is idle.
-fn idle_client(front: &GatewayProcess, backend: &Peer) -> Client {
-    let mut idle = front.client();
+/// A client that had one request answered and is idle.
+fn idle_client(gateway: &GatewayProcess, backend: &Peer) -> Client {
+    let mut idle = gateway.client();
     idle.send(&get(""));
     backend.next().ok("");
     assert_eq!(idle.read().status(), 200);
@@ -82,108 +82,109 @@
 }
 
 #[test]
-fn a_request_read_in_part_when_idle_connections_close_is_served() {
+fn partially_received_requests_are_served_when_idle_connections_are_closed() {
     let backend = Peer::start();
-    let mut front = GatewayProcess::before(&[backend.address]);
-    let (mut asking, mut idle) = (idle_client(&front, &backend), idle_client(&front, &backend));
-    let mut new = front.client();
-    front.terminate();
-    wait_until_leaving(&front);
+    let mut gateway = GatewayProcess::before(&[backend.address]);
+    let (mut receiving, mut idle) = (idle_client(&gateway, &backend), idle_client(&gateway, &backend));
+    let mut new = gateway.client();
+    gateway.terminate();
+    wait_until_unhealthy(&gateway);
     let (second, first) = (get("/second"), get("/first"));
-    asking.send(&second[..40]);
+    receiving.send(&second[..40]);
     new.send(&first[..40]);
     idle.expect_close();
-    asking.send(&second[40..]);
+    receiving.send(&second[40..]);
     backend.next().ok("served");
-    let answer = asking.read();
+    let answer = receiving.read();
     assert_eq!((answer.status(), answer.header("connection")), (200, "close"));
     new.send(&first[40..]);
     backend.next().ok("served");
     let answer = new.read();
     assert_eq!((answer.status(), answer.header("connection")), (200, "close"));
-    assert!(front.child.wait().expect("it ends").success());
+    assert!(gateway.child.wait().expect("it ends").success());
 }
 
 #[test]
-fn who_comes_while_the_last_requests_are_finished_is_served() {
+fn new_client_is_served_while_the_last_requests_finish() {
     let backend = Peer::start();
-    let mut front = GatewayProcess::before(&[backend.address]);
-    let mut idle = idle_client(&front, &backend);
-    let mut busy = front.client();
-    busy.send(&post("in hand"));
-    let in_hand = backend.next();
-    front.terminate();
-    wait_until_closing(&front, &mut idle);
-    let mut late = front.client();
+    let mut gateway = GatewayProcess::before(&[backend.address]);
+    let mut idle = idle_client(&gateway, &backend);
+    let mut busy = gateway.client();
+    busy.send(&post("open request"));
+    let open_exchange = backend.next();
+    gateway.terminate();
+    wait_until_idle_connections_close(&gateway, &mut idle);
+    let mut late = gateway.client();
     late.send(&get("/late"));
     backend.next().ok("late");
     assert_eq!(late.read().status(), 200);
-    in_hand.ok("finished");
+    open_exchange.ok("finished");
     assert_eq!(busy.read().status(), 200);
-    assert!(front.child.wait().expect("it ends").success());
+    assert!(gateway.child.wait().expect("it ends").success());
 }
 
 #[test]
-fn a_body_that_comes_when_time_is_up_is_refused_at_once() {
+fn request_with_an_incomplete_body_is_refused_at_once_when_the_shutdown_time_is_over() {
     let backend = Peer::start();
     let mut config = config(closed_port(), list(&[target("s-00000001", backend.address, "ready")]));
     config["settings"]["classes"][1]["deadline"] = json!(12_000.0);
-    let mut front = GatewayProcess::start(&config);
-    let mut busy = front.client();
+    let mut gateway = GatewayProcess::start(&config);
+    let mut busy = gateway.client();
     busy.send(&post("a job").replace("4000m", "12000m"));
     let _silent = backend.next();
-    front.terminate();
-    wait_until_leaving(&front);
-    // 2.5 s are given for a request: this one begins so late that its body is still due at the end.
+    gateway.terminate();
+    wait_until_unhealthy(&gateway);
+    // A request may take 2.5 s to arrive: this one begins so late that its body may still be incomplete at the end of the
+    // shutdown.
     thread::sleep(Duration::from_millis(1500));
-    let mut late = front.client();
+    let mut late = gateway.client();
     let job = post("a body");
     late.send(&job[..job.len() - 1]);
-    assert_eq!(busy.read().status(), 504, "time is up");
-    assert_eq!(late.read().status(), 429, "it is told to go elsewhere");
-    assert!(backend.exchanges.try_recv().is_err(), "and not sent on");
-    assert!(front.child.wait().expect("it ends").success());
+    assert_eq!(busy.read().status(), 504, "the shutdown time is over");
+    assert_eq!(late.read().status(), 429, "the incomplete request is refused");
+    assert!(backend.exchanges.try_recv().is_err(), "and not sent to a backend");
+    assert!(gateway.child.wait().expect("it ends").success());
 }
 
 #[test]
-fn signals_that_come_twice_or_before_it_is_ready_change_nothing() {
+fn signals_received_twice_or_before_readiness_change_nothing() {
     let backend = Peer::start();
-    let mut front = GatewayProcess::start(&config(closed_port(), list(&[])));
-    front.signal("-HUP");
-    front.terminate();
-    front.terminate();
-    front.signal("-HUP");
-    assert!(front.child.wait().expect("it ends").success());
-    let mut front = GatewayProcess::before(&[backend.address]);
-    let mut busy = front.client();
-    busy.send(&post("in hand"));
-    let in_hand = backend.next();
-    front.terminate();
-    wait_until_leaving(&front);
-    front.terminate();
-    front.signal("-HUP");
-    in_hand.ok("finished");
+    let mut gateway = GatewayProcess::start(&config(closed_port(), list(&[])));
+    gateway.signal("-HUP");
+    gateway.terminate();
+    gateway.terminate();
+    gateway.signal("-HUP");
+    assert!(gateway.child.wait().expect("it ends").success());
+    let mut gateway = GatewayProcess::before(&[backend.address]);
+    let mut busy = gateway.client();
+    busy.send(&post("open request"));
+    let open_exchange = backend.next();
+    gateway.terminate();
+    wait_until_unhealthy(&gateway);
+    gateway.terminate();
+    gateway.signal("-HUP");
+    open_exchange.ok("finished");
     let answer = busy.read();
     assert_eq!((answer.status(), answer.header("connection")), (200, "close"));
-    assert!(front.child.wait().expect("it ends").success());
+    assert!(gateway.child.wait().expect("it ends").success());
 }
 
 #[test]
-fn what_was_pipelined_when_the_signal_came_is_answered() {
+fn requests_pipelined_before_sigterm_are_answered() {
     let backend = Peer::start();
-    let mut front = GatewayProcess::before(&[backend.address]);
-    let mut client = front.client();
+    let mut gateway = GatewayProcess::before(&[backend.address]);
+    let mut client = gateway.client();
     client.send(&format!("{}{}{}", get("/first"), post("second"), get("/third")));
     let first = backend.next();
-    front.terminate();
-    wait_until_leaving(&front);
-    let mut served = |exchange: Exchange, body: &str| {
+    gateway.terminate();
+    wait_until_unhealthy(&gateway);
+    let mut expect_served = |exchange: Exchange, body: &str| {
         exchange.ok(body);
         let answer = client.read();
         assert_eq!((answer.status(), String::from_utf8(answer.body).expect("text")), (200, body.to_string()));
     };
-    served(first, "first");
-    served(backend.next(), "second");
-    served(backend.next(), "third");
-    assert!(front.child.wait().expect("it ends").success());
+    expect_served(first, "first");
+    expect_served(backend.next(), "second");
+    expect_served(backend.next(), "third");
+    assert!(gateway.child.wait().expect("it ends").success());
 }
