--- a/tests/gateway_process/shutdown.rs
+++ b/tests/gateway_process/shutdown.rs
@@ -134,8 +134,8 @@
     let _silent = backend.next();
     gateway.terminate();
     wait_until_unhealthy(&gateway);
-    // A request may take 2.5 s to arrive: this one begins so late that its body may still be incomplete at the end of the
-    // shutdown.
+    // A request may take 2.5 s to arrive: this one begins so late that its body may still be incomplete when the
+    // shutdown ends.
     thread::sleep(Duration::from_millis(1500));
     let mut late = gateway.client();
     let job = post("a body");
