--- a/tests/gateway_process/peers.rs
+++ b/tests/gateway_process/peers.rs
@@ -1,4 +1,4 @@
-//! Scripted peers on loopback sockets, and the built program in front of them.
+//! Scripted peers (servers, discovery agents, clients) on loopback sockets, and the gateway process under test.
 
 use fault_soak::listener;
 use fault_soak::shim::{self, Control};
@@ -14,10 +14,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Nothing here takes that long unless it fails.
+/// Time limit for waits in these tests. A wait that succeeds never takes this long.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// One message of HTTP: its first line, its headers (names in lower case) and its body.
+/// One HTTP message: its first line, headers (names in lower case) and body.
 pub struct Message {
     pub line: String,
     pub headers: HashMap<String, String>,
@@ -29,13 +29,13 @@
         self.headers.get(name).map_or("", String::as_str)
     }
     pub fn status(&self) -> u16 {
-        self.line.split(' ').nth(1).and_then(|word| word.parse().ok()).expect("a status")
+        self.line.split(' ').nth(1).and_then(|status| status.parse().ok()).expect("a status")
     }
 }
 
-/// `None` when the other side has closed between two messages.
+/// Reads one message; `None` if the peer closed the connection before it.
 pub fn read_message(stream: &TcpStream) -> io::Result<Option<Message>> {
-    // One byte at a time: what is read ahead of this message would be lost with the reader.
+    // One byte at a time, as bytes of the next message in the buffer would be lost with the reader.
     let mut reader = BufReader::with_capacity(1, stream);
     let mut line = String::new();
     if reader.read_line(&mut line)? == 0 {
@@ -56,7 +56,7 @@
     Ok(Some(Message { line: line.trim_end().to_string(), headers, body }))
 }
 
-/// The other side closes, in order or not, and sends nothing before that.
+/// Expects the peer to close the connection, by an end of stream or a reset, without sending anything.
 pub fn expect_close(mut stream: &TcpStream) {
     match stream.read(&mut [0]) {
         Ok(0) => {}
@@ -65,7 +65,7 @@
     }
 }
 
-/// A request that a scripted peer has read and not answered yet.
+/// A request that a scripted peer has read and not yet answered.
 pub struct Exchange {
     pub request: Message,
     pub stream: TcpStream,
@@ -73,7 +73,7 @@
 }
 
 impl Exchange {
-    /// Answers and goes on reading from the connection.
+    /// Answers, then reads the next request from the connection.
     pub fn answer(mut self, status: &str, headers: &str, body: &str) {
         let length = body.len();
         let answer = format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {length}\r\n\r\n{body}");
@@ -83,34 +83,35 @@
     pub fn ok(self, body: &str) {
         self.answer("200 OK", "", body);
     }
-    /// The same for a call that may have been given up.
+    /// Answers with 200 if the connection is still open: the call may have timed out.
     pub fn answer_if_open(mut self, body: &str) {
         let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
         if self.stream.write_all(answer.as_bytes()).is_ok() {
             read_on(self.stream, self.next);
         }
     }
-    /// Writes this and closes.
+    /// Writes `bytes` and closes the connection.
     pub fn send_and_close(mut self, bytes: &str) {
         self.stream.write_all(bytes.as_bytes()).expect("the bytes go out");
         self.stream.shutdown(Shutdown::Both).expect("the connection closes");
     }
-    /// Waits until the other side has closed.
+    /// Waits until the gateway closes the connection.
     pub fn wait_for_close(&mut self) {
         expect_close(&self.stream);
     }
 }
 
+/// Reads the next request from the connection on another thread and sends it to `next`.
 pub fn read_on(stream: TcpStream, next: Sender<Exchange>) {
     thread::spawn(move || {
         if let Ok(Some(request)) = read_message(&stream) {
-            // A test that has ended listens no more.
+            // Fails if the test has ended.
             let _ = next.send(Exchange { request, stream, next: next.clone() });
         }
     });
 }
 
-/// A peer that the test answers for: a backend, or discovery.
+/// A peer whose answers the test writes: a backend or a discovery agent.
 pub struct Peer {
     pub address: SocketAddr,
     pub exchanges: Receiver<Exchange>,
@@ -134,12 +135,13 @@
     }
 }
 
-/// An agent of discovery. It tells the list it was given, and changes when the test says so; each call is answered
-/// by the revision that it names, on whatever connection it comes.
+/// A discovery agent. It serves the list that it was given and the changes that the test pushes; each call is answered
+/// according to the revision in it, whatever connection it uses.
 pub struct Discovery {
     pub address: SocketAddr,
+    /// The targets of each revision, and the signal of a new one.
     history: Arc<(Mutex<Vec<Value>>, Condvar)>,
-    /// The revision that each watch is asked from.
+    /// The revision after which each watch asks for changes.
     watches: Receiver<usize>,
 }
 
@@ -148,17 +150,17 @@
         let peer = Peer::start();
         let address = peer.address;
         let history = Arc::new((Mutex::new(vec![list["targets"].clone()]), Condvar::new()));
-        let (watching, watches) = channel();
-        let shared = history.clone();
+        let (watch_sender, watches) = channel();
+        let served_history = history.clone();
         thread::spawn(move || {
             while let Ok(call) = peer.exchanges.recv() {
-                let (history, watching) = (shared.clone(), watching.clone());
-                thread::spawn(move || answer_discovery_call(call, &history, &watching));
+                let (history, watch_sender) = (served_history.clone(), watch_sender.clone());
+                thread::spawn(move || answer_discovery_call(call, &history, &watch_sender));
             }
         });
         Discovery { address, history, watches }
     }
-    /// Tells a change, and waits for the watch that follows: the front door has taken the change in by then.
+    /// Publishes a change and waits for the watch that follows: the gateway has processed the change by then.
     pub fn push_targets(&self, targets: Value) {
         let (history, changed) = &*self.history;
         let mut history = history.lock().expect("no one panics while holding it");
@@ -176,17 +178,21 @@
     }
 }
 
-/// Answers one call: the whole list, or what is newer than the revision it names once there is something.
-fn answer_discovery_call(call: Exchange, history: &(Mutex<Vec<Value>>, Condvar), watching: &Sender<usize>) {
-    let number = |name: &str| -> Option<usize> {
+/// Answers one call with the whole list, or with the changes after its revision as soon as there are any.
+fn answer_discovery_call(
+    call: Exchange,
+    history: &(Mutex<Vec<Value>>, Condvar),
+    watch_sender: &Sender<usize>,
+) {
+    let parameter = |name: &str| -> Option<usize> {
         let (_, rest) = call.request.line.split_once(name)?;
         rest.split(['&', ' ']).next()?.parse().ok()
     };
-    let after = number("after=");
-    let wait = Duration::from_millis(number("wait_ms=").unwrap_or(0) as u64);
+    let after = parameter("after=");
+    let wait = Duration::from_millis(parameter("wait_ms=").unwrap_or(0) as u64);
     if let Some(after) = after.filter(|_| !wait.is_zero()) {
-        // The test may listen no more.
-        let _ = watching.send(after);
+        // Fails if the test has ended.
+        let _ = watch_sender.send(after);
     }
     let (revisions, changed) = history;
     let revisions = revisions.lock().expect("no one panics while holding it");
@@ -212,8 +218,8 @@
     json!({"rev": 1, "all": true, "targets": targets})
 }
 
-/// The next call to an agent for the list or for what is newer. Calls that only confirm a watch, which may come
-/// between any two others, stay open without an answer.
+/// The next call to an agent for the list or for changes. Calls that only confirm a watch may arrive between any two
+/// others; they stay open without an answer.
 pub fn next_list_call(agent: &Peer) -> Exchange {
     loop {
         let call = agent.next();
@@ -224,17 +230,17 @@
     }
 }
 
-/// An address where nothing listens, as long as the tests run.
+/// An address where nothing listens while the tests run.
 pub fn closed_port() -> SocketAddr {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     socket.bind(&SocketAddr::from((Ipv4Addr::LOCALHOST, 0)).into()).expect("a port");
     let address = socket.local_addr().expect("an address").as_socket().expect("one of IPv4");
-    // It stays bound: a peer of another test that got the port would be taken for this one's discovery.
+    // It stays bound, so that no peer of another test gets the port and is taken for the discovery agent of this one.
     std::mem::forget(socket);
     address
 }
 
-/// A backend to which connections come up only once `open` is called: its backlog is full.
+/// A backend to which connections are established only once `open` is called, as its backlog is full.
 pub struct FullBacklogPeer {
     pub listener: TcpListener,
     pub address: SocketAddr,
@@ -252,34 +258,38 @@
         let filling = TcpStream::connect(address).expect("the backlog holds one");
         FullBacklogPeer { listener, address, _filling: filling }
     }
-    /// Waits until a connection is on its way that does not come up.
+    /// Waits until a connection attempt is pending.
     pub fn wait_for_connect(&self) {
         let until = Instant::now() + TEST_TIMEOUT;
-        let (a, port) = (u32::from_le_bytes([127, 0, 0, 1]), self.address.port());
-        let wanted = format!("{a:08X}:{port:04X} 02");
-        while !std::fs::read_to_string("/proc/net/tcp").expect("the system's sockets").contains(&wanted) {
+        let (ip, port) = (u32::from_le_bytes([127, 0, 0, 1]), self.address.port());
+        // The remote address and the state SYN_SENT, as the kernel lists sockets.
+        let syn_sent = format!("{ip:08X}:{port:04X} 02");
+        while !std::fs::read_to_string("/proc/net/tcp").expect("the system's sockets").contains(&syn_sent) {
             assert!(Instant::now() < until, "no connection is attempted");
             thread::sleep(Duration::from_millis(5));
         }
     }
-    /// Lets the connection come up, and returns all that was written to it until it closed.
+    /// Lets the connection be established, and returns all that was written to it until it closed.
     pub fn open(self) -> Vec<u8> {
-        let _filling = self.listener.accept().expect("the one that filled the backlog");
-        let (mut stream, _) = self.listener.accept().expect("the front door's");
+        let _filling = self.listener.accept().expect("the connection that filled the backlog");
+        let (mut stream, _) = self.listener.accept().expect("the connection of the gateway");
         stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
         let mut bytes = Vec::new();
-        stream.read_to_end(&mut bytes).expect("the front door closes the connection");
+        stream.read_to_end(&mut bytes).expect("the gateway closes the connection");
         bytes
     }
 }
 
-/// The configuration of a front door of its own, under an address of its own.
+/// The configuration of a gateway with a listening address that no other test uses. `known` is the list of servers that
+/// it starts with.
 pub fn config(discovery: SocketAddr, known: Value) -> Value {
     static COUNT: AtomicU8 = AtomicU8::new(1);
     let [high, low] = (std::process::id() as u16).to_be_bytes();
-    // Other sockets of the system get their ports at 127.0.0.1: here nothing takes this one meanwhile.
-    let own = Ipv4Addr::new(127, COUNT.fetch_add(1, Ordering::Relaxed), high, low.max(1));
-    let listen = TcpListener::bind((own, 0)).and_then(|listener| listener.local_addr()).expect("a port");
+    // Ports of other sockets are assigned at 127.0.0.1, so at this address none of them takes the port before the
+    // gateway listens.
+    let loopback_address = Ipv4Addr::new(127, COUNT.fetch_add(1, Ordering::Relaxed), high, low.max(1));
+    let listen =
+        TcpListener::bind((loopback_address, 0)).and_then(|listener| listener.local_addr()).expect("a port");
     let class = |name, semantics| {
         json!({"name": name, "semantics": semantics, "group": "all", "dedupWindow": 5000.0, "worth": 1.0,
                "slo": 1000.0, "deadline": 4000.0, "lateShare": 0.0, "stream": false})
@@ -304,7 +314,7 @@
     })
 }
 
-/// The same with a plan whose cap two front doors share over a counter.
+/// The same with a plan whose concurrency limit of 2 two gateways share through a counter.
 pub fn capped_config(backend: SocketAddr, counter: SocketAddr) -> Value {
     let mut config = config(closed_port(), list(&[target("s-00000001", backend, "ready")]));
     config["counter"] = json!(counter.to_string());
@@ -315,49 +325,49 @@
     config
 }
 
-/// The program. It is killed when the test ends.
+/// A gateway process. It is killed when the test ends.
 pub struct GatewayProcess {
     pub child: Child,
     pub address: SocketAddr,
-    /// The file of its configuration.
+    /// Its configuration file.
     pub file: PathBuf,
 }
 
 impl GatewayProcess {
-    /// Starts the program and waits until it listens.
+    /// Starts the gateway and waits until it listens.
     pub fn start(config: &Value) -> GatewayProcess {
         GatewayProcess::start_with(config, Stdio::inherit())
     }
-    pub fn start_with(config: &Value, errors: Stdio) -> GatewayProcess {
+    pub fn start_with(config: &Value, stderr: Stdio) -> GatewayProcess {
         let file = write_config(config);
-        let child = spawn(&file, config, errors);
+        let child = spawn(&file, config, stderr);
         GatewayProcess::listening(child, config, file)
     }
-    /// Waits until a program that was started listens.
+    /// Waits until a process that was started listens.
     pub fn listening(child: Child, config: &Value, file: PathBuf) -> GatewayProcess {
         let address = config["listen"].as_str().expect("an address").parse().expect("an address");
         let until = Instant::now() + TEST_TIMEOUT;
         while TcpStream::connect(address).is_err() {
-            assert!(Instant::now() < until, "the front door does not listen");
+            assert!(Instant::now() < until, "the gateway does not listen");
             thread::sleep(Duration::from_millis(5));
         }
         GatewayProcess { child, address, file }
     }
-    /// One in front of these backends, known to it from its start, with discovery dead.
+    /// Starts a gateway whose configuration lists these backends and that cannot reach discovery.
     pub fn before(backends: &[SocketAddr]) -> GatewayProcess {
         let targets: Vec<Value> = backends
             .iter()
             .enumerate()
-            .map(|(n, at)| target(&format!("s-0000000{n}"), *at, "ready"))
+            .map(|(n, address)| target(&format!("s-0000000{n}"), *address, "ready"))
             .collect();
         GatewayProcess::start(&config(closed_port(), list(&targets)))
     }
     pub fn client(&self) -> Client {
-        let stream = TcpStream::connect(self.address).expect("the front door accepts");
+        let stream = TcpStream::connect(self.address).expect("the gateway accepts");
         stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
         Client { stream }
     }
-    /// A request of a new client is answered by that backend.
+    /// Checks that a request of a new client is answered by that backend.
     pub fn serves_from(&self, backend: &Peer) {
         let mut client = self.client();
         client.send(&get(""));
@@ -372,15 +382,15 @@
     }
 }
 
-/// Sends a signal, by a name as `kill` takes it.
+/// Sends a signal, named as an option of `kill`, for example `-TERM`.
 pub fn signal(child: &Child, name: &str) {
     let status = Command::new("kill").arg(name).arg(child.id().to_string()).status();
     assert!(status.expect("kill runs").success());
 }
 
-/// How a process ended within that time; it is killed and `None` if it has not.
-pub fn wait_for_exit(child: &mut Child, span: Duration) -> Option<ExitStatus> {
-    let until = Instant::now() + span;
+/// The exit status of a process that exits within `time_limit`; otherwise the process is killed, and `None`.
+pub fn wait_for_exit(child: &mut Child, time_limit: Duration) -> Option<ExitStatus> {
+    let until = Instant::now() + time_limit;
     while Instant::now() < until {
         if let Some(status) = child.try_wait().expect("the process is there") {
             return Some(status);
@@ -399,7 +409,7 @@
     }
 }
 
-/// Writes a configuration to a file of its own.
+/// Writes a configuration to a new file.
 pub fn write_config(config: &Value) -> PathBuf {
     static COUNT: AtomicU8 = AtomicU8::new(0);
     let name =
@@ -409,7 +419,7 @@
     path
 }
 
-/// A program that was started and may not listen yet. It is killed when a test fails before it does.
+/// A gateway process that was started and may not listen yet. It is killed when a test fails before it does.
 pub struct StartingGateway(Option<Child>);
 
 impl StartingGateway {
@@ -431,11 +441,12 @@
     }
 }
 
-pub fn spawn(file: &Path, config: &Value, errors: Stdio) -> Child {
-    command(file, config).stderr(errors).spawn().expect("the program starts")
+/// Starts the gateway without waiting for it.
+pub fn spawn(file: &Path, config: &Value, stderr: Stdio) -> Child {
+    command(file, config).stderr(stderr).spawn().expect("the program starts")
 }
 
-/// The program's command, with its environment.
+/// The command that starts the gateway, with its environment.
 pub fn command(file: &Path, config: &Value) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_brassport"));
     command
@@ -445,18 +456,18 @@
     command
 }
 
-/// Starts the program with room for so many descriptors.
-pub fn spawn_with_descriptors(most: u32, file: &Path, config: &Value) -> Child {
-    let program = command(file, config);
+/// Starts the gateway with a limit on its open file descriptors.
+pub fn spawn_with_descriptors(limit: u32, file: &Path, config: &Value) -> Child {
+    let gateway = command(file, config);
     let mut shell = Command::new("sh");
-    shell.arg("-c").arg(format!("ulimit -n {most}; exec \"$0\"")).arg(program.get_program());
-    for (name, value) in program.get_envs() {
+    shell.arg("-c").arg(format!("ulimit -n {limit}; exec \"$0\"")).arg(gateway.get_program());
+    for (name, value) in gateway.get_envs() {
         shell.env(name, value.expect("it is set"));
     }
     shell.spawn().expect("the program starts")
 }
 
-/// Makes the program's system calls fail.
+/// Makes system calls of the gateway fail, through a preloaded library that reads a control file.
 pub struct FaultInjection {
     pub control: Control,
     library: PathBuf,
@@ -477,7 +488,7 @@
             library: library.clone(),
         }
     }
-    /// Starts the program under this, without waiting for anything.
+    /// Starts the gateway with the library, without waiting for it.
     pub fn spawn(&self, file: &Path, config: &Value) -> Child {
         command(file, config)
             .env("LD_PRELOAD", &self.library)
@@ -485,7 +496,7 @@
             .spawn()
             .expect("the program starts")
     }
-    /// Starts the program and waits until it listens.
+    /// Starts the gateway with the library and waits until it listens.
     pub fn start(&self, config: &Value) -> GatewayProcess {
         let file = write_config(config);
         let child = self.spawn(&file, config);
@@ -493,7 +504,7 @@
     }
 }
 
-/// Answers every request that reaches the peer at once, and counts them.
+/// Answers every request that reaches the peer at once. Returns their count, which goes on growing.
 pub fn answer_all(peer: Peer) -> Arc<AtomicU32> {
     let count = Arc::new(AtomicU32::new(0));
     let counted = count.clone();
@@ -501,7 +512,7 @@
         while let Ok(mut exchange) = peer.exchanges.recv() {
             counted.fetch_add(1, Ordering::Relaxed);
             let answer = b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nserved";
-            // Whoever asked may be gone.
+            // The gateway may have closed the connection.
             if exchange.stream.write_all(answer).is_ok() {
                 read_on(exchange.stream, exchange.next);
             }
@@ -510,11 +521,12 @@
     count
 }
 
+/// A client connection to the gateway.
 pub struct Client {
     pub stream: TcpStream,
 }
 
-/// The headers of a usual request, under an id of its own.
+/// The headers of a valid request with a new id.
 pub fn headers() -> String {
     static COUNT: AtomicU32 = AtomicU32::new(1);
     let id = COUNT.fetch_add(1, Ordering::Relaxed);
@@ -557,13 +569,13 @@
     }
 }
 
-/// The next request that reaches one of the two, and which of them.
+/// The next request that reaches one of the two peers, and the index of that peer.
 pub fn next_of(peers: &[Peer; 2]) -> (Exchange, usize) {
     let until = Instant::now() + TEST_TIMEOUT;
     loop {
-        for (n, peer) in peers.iter().enumerate() {
+        for (index, peer) in peers.iter().enumerate() {
             if let Ok(exchange) = peer.exchanges.recv_timeout(Duration::from_millis(2)) {
-                return (exchange, n);
+                return (exchange, index);
             }
         }
         assert!(Instant::now() < until, "no request comes");
