--- a/src/bin/brassport/client_connections.rs
+++ b/src/bin/brassport/client_connections.rs
@@ -13,7 +13,8 @@
 /// slow clients.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
 /// How much of the request time-out the wait to be accepted may use up at most. The rest remains to read what arrived
-/// during that wait, so this must stay below the time-out.
+/// during that wait, so this must stay below the time-out. If it is too low, a connection that had to wait is closed
+/// later than those 3 s.
 const MAX_QUEUE_WAIT: Duration = Duration::from_millis(2000);
 /// How long a connection may be idle after a response. Shorter makes clients reconnect more often; longer keeps
 /// descriptors for clients that do not come back.
--- a/src/bin/brassport/client_stream.rs
+++ b/src/bin/brassport/client_stream.rs
@@ -22,8 +22,8 @@
 /// Capacity, in bytes, that an empty read-ahead buffer keeps. Higher costs memory on each of up to a thousand
 /// connections; lower costs an allocation for each request.
 const EMPTY_BUFFER_CAPACITY: usize = 1024;
-/// Interval between checks for the end of a connection whose read-ahead buffer is full. Requests of a client that
-/// has left may run on for as long.
+/// Interval between checks for the end of a connection whose read-ahead buffer is full. Longer keeps requests of
+/// clients that have left running; shorter costs processor time.
 const END_OF_STREAM_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// How long input is still read and discarded after the last response, so that the client can receive it. A client
 /// that sends for longer may lose that response to a connection reset; a higher value holds descriptors longer.
--- a/src/bin/brassport/clients.rs
+++ b/src/bin/brassport/clients.rs
@@ -41,13 +41,16 @@
 /// The reserve is at most the number of all descriptors divided by this.
 const RESERVE_DIVISOR: usize = 4;
 /// Clients have many connections, and idle ones get shorter time-outs, above the number of all descriptors
-/// divided by this.
+/// divided by this. Higher makes clients reconnect more often; lower leaves more idle connections open.
 const MANY_CONNECTIONS_DIVISOR: usize = 8;
-/// Size limit of a request head in bytes; a longer one gets a 431 response.
+/// Size limit of a request head in bytes; a longer one gets a 431 response. It is also the limit of the buffer of each
+/// connection, so higher costs memory.
 const HEAD_LIMIT: usize = 16 * 1024;
-/// Interval between checks for connections whose time is up; they may outlast their time-outs by as much.
+/// Interval between checks for connections whose time is up; they may outlast their time-outs by as much. Shorter costs
+/// processor time.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
-/// How long writing the rest of a response may take on a connection that is being closed.
+/// How long writing the rest of a response may take on a connection that is being closed. Shorter truncates responses
+/// to slow clients; longer holds descriptors for clients that do not read.
 const FINAL_WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 /// The response to a request that does not arrive completely in time.
 const REQUEST_TIMEOUT_RESPONSE: &[u8] =
