--- a/src/bin/brassport/discovery/list.rs
+++ b/src/bin/brassport/discovery/list.rs
@@ -1,21 +1,22 @@
-//! The list of servers as discovery writes it.
+//! The list of servers in the JSON form of discovery.
 
 use serde::Deserialize;
 use std::fmt;
 
-/// Most servers that a line of the trace names.
-const MOST_NAMED: usize = 16;
+/// Maximum number of servers named in one trace line.
+const MAX_TRACED_TARGETS: usize = 16;
 
-/// The list of servers, or what changed in it.
+/// The full list of servers, or the entries that changed.
 #[derive(Deserialize)]
 pub struct List {
     pub rev: u64,
+    /// Whether this is the full list.
     pub all: bool,
     pub targets: Vec<Target>,
 }
 
 impl List {
-    /// A whole list with no server on it.
+    /// A full list without servers.
     pub fn empty() -> List {
         List { rev: 0, all: true, targets: Vec::new() }
     }
@@ -28,36 +29,37 @@
     pub endpoint: String,
     #[serde(default)]
     pub az: String,
-    /// Which, no more: one that is out of range must not cost the whole list.
+    /// An identifier only. It is read as u64 so that an out-of-range value does not make the whole list invalid.
     #[serde(default)]
     pub pod_group: u64,
     pub state: State,
-    /// 0, as where it is missing, says nothing of the size.
+    /// Hint of the capacity; 0, the default, means unknown.
     #[serde(default)]
     pub capacity_hint: f64,
+    /// Wall-clock time at which the server booted, in milliseconds; 0, the default, means unknown.
     #[serde(default)]
     pub boot_ms: f64,
 }
 
-/// What a server on the list is up to.
+/// The state of a server on the list.
 #[derive(Debug, Deserialize, Clone, Copy, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
     Ready,
     Draining,
     Gone,
-    /// A word that is not in the protocol: nothing is sent there.
+    /// A state that is not in the protocol: no requests are sent to this server.
     #[serde(other)]
     Unknown,
 }
 
-/// For the trace: the revision, and the servers that are named, or how many there are.
+/// For the trace: the revision, the number of servers, and the servers themselves unless it is a long full list.
 impl fmt::Display for List {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let kind = if self.all { "whole list" } else { "changes" };
+        let kind = if self.all { "full list" } else { "changes" };
         write!(f, "revision {}, {kind} of {}", self.rev, self.targets.len())?;
-        if !self.all || self.targets.len() <= MOST_NAMED {
-            for target in self.targets.iter().take(MOST_NAMED) {
+        if !self.all || self.targets.len() <= MAX_TRACED_TARGETS {
+            for target in self.targets.iter().take(MAX_TRACED_TARGETS) {
                 write!(f, ", {} {:?}", target.uid, target.state)?;
             }
         }
