--- a/src/bin/brassport/discovery/status.rs
+++ b/src/bin/brassport/discovery/status.rs
@@ -1,4 +1,4 @@
-//! When discovery was last heard, and since when the list held may be older than what discovery has.
+//! When discovery last answered, and since when the list held may be missing changes.
 
 use crate::log;
 use std::cell::Cell;
@@ -6,35 +6,35 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Why a call brought no list.
+/// Why a call returned no list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallFailure {
-    /// The connection did not come up.
+    /// The connection could not be opened.
     Unreachable,
     /// The connection broke.
     Broken,
-    /// The answer is no list.
+    /// The answer is not a valid list.
     Invalid,
-    /// No answer came in time.
-    Silent,
+    /// No answer arrived within the time-out.
+    TimedOut,
 }
 
 impl fmt::Display for CallFailure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            CallFailure::Unreachable => "it can't be reached",
+            CallFailure::Unreachable => "cannot connect",
             CallFailure::Broken => "the connection broke",
-            CallFailure::Invalid => "the answer is no list",
-            CallFailure::Silent => "no answer came in time",
+            CallFailure::Invalid => "the answer is not a valid list",
+            CallFailure::TimedOut => "no answer within the time-out",
         })
     }
 }
 
-/// The one place that knows how old the list held may be.
+/// Tracks how old the list held may be, and logs when discovery is lost and when it is back.
 #[derive(Debug)]
 pub struct DiscoveryStatus {
-    /// Before the first answer: the start.
-    last_heard: Cell<Instant>,
+    /// Before the first answer: the time of the start.
+    last_answer: Cell<Instant>,
     revision: Cell<Option<u64>>,
     lost: Cell<bool>,
     unconfirmed_since: Cell<Option<Instant>>,
@@ -42,10 +42,10 @@
 }
 
 impl DiscoveryStatus {
-    /// Nothing was heard yet; `revision` is that of a list held from an earlier life.
+    /// The status before the first answer; `revision` is that of the cached list in the configuration file.
     pub fn new(revision: Option<u64>) -> DiscoveryStatus {
         DiscoveryStatus {
-            last_heard: Cell::new(Instant::now()),
+            last_answer: Cell::new(Instant::now()),
             revision: Cell::new(revision),
             lost: Cell::new(false),
             unconfirmed_since: Cell::new(None),
@@ -53,50 +53,54 @@
         }
     }
 
-    /// Notes an answer, and logs it if discovery had been lost.
-    pub fn heard(&self, revision: u64) {
-        let silence = self.last_heard.replace(Instant::now()).elapsed().as_secs_f64();
+    /// Records an answer, and logs it if discovery was lost before.
+    pub fn answered(&self, revision: u64) {
+        let silence = self.last_answer.replace(Instant::now()).elapsed().as_secs_f64();
         if self.lost.take() {
-            log::line(format!("discovery is back: revision {revision}, after {silence:.2} s without word"));
+            log::line(format!(
+                "discovery is back: revision {revision}, after {silence:.2} s without an answer"
+            ));
         }
         self.revision.set(Some(revision));
     }
 
-    /// Notes that the last answer was written at `written` at the earliest: what discovery got later is not known until
-    /// the next watch is confirmed.
-    pub fn unconfirmed_from(&self, written: Instant) {
+    /// Records that the last answer was written no earlier than `written`: changes that discovery received later may be
+    /// missing until the next watch is confirmed.
+    pub fn set_unconfirmed_since(&self, written: Instant) {
         self.unconfirmed_since.set(Some(written));
-        self.reconsider();
+        self.notify_changed();
     }
 
-    /// Notes that discovery was there while a watch was open: what it had before has been heard.
+    /// Records that discovery answered while a watch was open: no earlier change is missing.
     pub fn confirmed(&self) {
-        self.last_heard.set(Instant::now());
+        self.last_answer.set(Instant::now());
         self.unconfirmed_since.set(None);
     }
 
-    /// Notes a call that failed, and logs the first one since an answer.
-    pub fn lost(&self, loss: CallFailure) {
+    /// Records a failed call, and logs the first one since the last answer.
+    pub fn call_failed(&self, failure: CallFailure) {
         if !self.lost.replace(true) {
-            let silence = self.last_heard.get().elapsed().as_secs_f64();
+            let silence = self.last_answer.get().elapsed().as_secs_f64();
             let held = self.revision.get().map_or("none".to_string(), |revision| revision.to_string());
             log::line(format!(
-                "discovery is lost: {loss}; revision held {held}, {silence:.2} s without word"
+                "discovery is lost: {failure}; revision held {held}, {silence:.2} s without an answer"
             ));
         }
     }
 
-    /// Since when discovery may have had changes that no watch was open for; `None` where it had none.
+    /// The time since which discovery may have received changes while no watch was open; `None` if no change can be
+    /// missing.
     pub fn unconfirmed_since(&self) -> Option<Instant> {
         self.unconfirmed_since.get()
     }
 
-    /// Wakes whoever waits for a change: what it means has changed.
-    pub fn reconsider(&self) {
+    /// Wakes the task in [`DiscoveryStatus::changed`]. To be called also when the schedule changes, as the limit on the
+    /// unconfirmed time then changes too.
+    pub fn notify_changed(&self) {
         self.changed.notify_one();
     }
 
-    /// Waits until there may be another answer to that.
+    /// Waits until `unconfirmed_since` or the limit on it may have changed.
     pub async fn changed(&self) {
         self.changed.notified().await;
     }
--- a/src/bin/brassport/discovery/watch.rs
+++ b/src/bin/brassport/discovery/watch.rs
@@ -63,7 +63,7 @@
             let Source { address, service, known, seed } = *source.borrow_and_update();
             self.schedule.replace(Schedule::new(service, seed));
             self.held.set(known.filter(|_| self.schedule.borrow().is_shared()));
-            self.status.reconsider();
+            self.status.notify_changed();
             tokio::select! {
                 () = self.watch(address) => {}
                 changed = source.changed() => if changed.is_err() { return },
@@ -92,7 +92,7 @@
                 }
                 Outcome::Lost(loss) => {
                     links = Links::default();
-                    self.status.lost(loss);
+                    self.status.call_failed(loss);
                     self.report(Update::CallFailed);
                     self.held.set(self.held.get().filter(|_| self.schedule.borrow().is_shared()));
                     self.pause(began).await;
@@ -124,13 +124,13 @@
         log::trace(SUBJECT, || format!("{address} is asked: {}", query.path()));
         let patience = self.schedule.borrow().patience(query);
         let outcome = timeout(patience, ask(link, address, query)).await;
-        let outcome = outcome.unwrap_or(Outcome::Lost(CallFailure::Silent));
+        let outcome = outcome.unwrap_or(Outcome::Lost(CallFailure::TimedOut));
         let took = began.elapsed();
         log::trace(SUBJECT, || format!("after {:.1} ms: {outcome}", took.as_secs_f64() * 1000.0));
         if let Outcome::List(list) = &outcome {
-            self.status.heard(list.rev);
+            self.status.answered(list.rev);
             if self.schedule.borrow().most_unconfirmed().is_some() {
-                self.status.unconfirmed_from(began + query.least_wait(list, took));
+                self.status.set_unconfirmed_since(began + query.least_wait(list, took));
             }
         }
         outcome
@@ -158,7 +158,7 @@
                     return pending().await;
                 }
                 Outcome::Unmade => sleep(PACE).await,
-                Outcome::Busy => return CallFailure::Silent,
+                Outcome::Busy => return CallFailure::TimedOut,
                 Outcome::Lost(loss) => return loss,
             }
         }
--- a/tests/gateway_process/discovery.rs
+++ b/tests/gateway_process/discovery.rs
@@ -234,7 +234,7 @@
     next_list_call(&agent).ok(&later.to_string());
     let line = lines.next().expect("a line");
     assert!(line.starts_with("brassport: discovery is back: revision 7, after "), "{line}");
-    assert!(line.ends_with(" s without word"), "{line}");
+    assert!(line.ends_with(" s without an answer"), "{line}");
 }
 
 /// A gateway with one server, a grace of 1 s for drains, and an agent that has told it the list and holds its watch open.
