--- a/src/bin/brassport/discovery/call.rs
+++ b/src/bin/brassport/discovery/call.rs
@@ -22,7 +22,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Query {
     /// The whole list, which is answered at once.
-    Whole,
+    Full,
     /// What is newer than the revision `after`, as soon as there is something, and by the end of `wait` anyway.
     Watch { after: u64, wait: Duration },
 }
@@ -31,7 +31,7 @@
     /// The path of the request.
     pub fn path(self) -> String {
         match self {
-            Query::Whole => "/v1/servers".to_string(),
+            Query::Full => "/v1/servers".to_string(),
             Query::Watch { after, wait } => {
                 format!("/v1/servers?after={after}&wait_ms={}", wait.as_millis())
             }
@@ -90,7 +90,7 @@
     match open.exchange(request, LIST_LIMIT).await {
         Ok(answer) if answer.status() == StatusCode::OK => {
             let list = serde_json::from_slice(answer.body()).ok();
-            let list = list.filter(|list: &List| list.all || query != Query::Whole);
+            let list = list.filter(|list: &List| list.all || query != Query::Full);
             list.map_or(Outcome::Lost(CallFailure::Invalid), Outcome::List)
         }
         Ok(answer) if answer.status() == StatusCode::SERVICE_UNAVAILABLE => Outcome::Busy,
--- a/src/bin/brassport/discovery/schedule.rs
+++ b/src/bin/brassport/discovery/schedule.rs
@@ -1,65 +1,71 @@
-//! When discovery is called, and how long each call is waited for.
+//! When discovery is called, and the time-out of each call.
 
 use super::call::Query;
 use oorandom::Rand32;
 use std::time::Duration;
 
-/// How long a watch may wait for news, and how long its answer may take beyond that.
-const WAIT: Duration = Duration::from_millis(1000);
-const OVERDUE: Duration = Duration::from_millis(1000);
-/// What a gateway's own agent has counts as told, heard or not, and a call that met its silence is never
-/// answered, though the agent is back a moment later. So each stretch through which a call may be lost is a
-/// part of the time within which sends to a draining server must stop: a watch's wait, how long any answer
-/// is waited for beyond that, and the pause after a failed call, at first and at the most.
-const OWN_WAIT_PART: f64 = 0.4;
-const OWN_OVERDUE_PART: f64 = 0.2;
-const OWN_FIRST_BACK_OFF_PART: f64 = 0.1;
-const OWN_LAST_BACK_OFF_PART: f64 = 0.2;
-/// The part of that time for which the list may be sent by while the agent may have more.
-const OWN_UNCONFIRMED_PART: f64 = 0.75;
-/// The least that is taken for that time: calls must not keep the gateway busy.
-const LEAST_GRACE: Duration = Duration::from_millis(250);
-/// Where all gateways call one service: after a call that failed, the next one comes within so long for
-/// each of them, twice that after each further failure, and within the last of these at the most. As they
-/// fail together they would come together again, and a line that is too long for all of them serves none.
-const FIRST_BACK_OFF_PER_GATEWAY: Duration = Duration::from_millis(20);
-const LAST_BACK_OFF_PER_GATEWAY: Duration = Duration::from_millis(100);
-/// How much longer a call may take there for each of them: the service goes on to work on a call that was
-/// given up, and so the next one only makes its line longer.
-const OVERDUE_PER_GATEWAY: Duration = Duration::from_millis(30);
-/// A change counts as told 6 s after discovery had it and could be reached, whatever became of the call that
-/// was out then. So the time that a call took, the pause behind it and the wait for the next answer all go
-/// into that, however many gateways there are.
-const LONGEST_OVERDUE: Duration = Duration::from_millis(2500);
-const LONGEST_BACK_OFF: Duration = Duration::from_millis(3300);
-/// The longest pause behind a call that took as long as any may.
-const BACK_OFF_FROM_SILENCE: Duration = Duration::from_millis(500);
-
-/// Who answers the calls.
+/// How long discovery may hold a watch open when it has no changes, and the time-out of an answer beyond that. Where
+/// there is a local agent, both are upper limits. Longer ones detect an unresponsive discovery later, shorter ones make
+/// more calls.
+const MAX_WATCH_WAIT: Duration = Duration::from_millis(1000);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(1000);
+/// A gateway counts as notified of every change that its local agent has, whether or not the change arrived here. An
+/// agent that was unresponsive never answers a call that it received then, even if it is back a moment later. So each
+/// span in which a call may be lost is a fraction of the drain grace, the time within which sends to a draining server
+/// must stop: the wait of a watch, the time-out of an answer beyond that, and the first and the longest pause after a
+/// failed call. Larger fractions let a lost call delay a change beyond the grace, smaller ones make more calls.
+const AGENT_WAIT_FRACTION: f64 = 0.4;
+const AGENT_ANSWER_TIMEOUT_FRACTION: f64 = 0.2;
+const AGENT_FIRST_BACKOFF_FRACTION: f64 = 0.1;
+const AGENT_MAX_BACKOFF_FRACTION: f64 = 0.2;
+/// The fraction of the drain grace for which the list may be used while the agent may have newer changes.
+const AGENT_UNCONFIRMED_FRACTION: f64 = 0.75;
+/// Lower limit of the drain grace for time-outs and pauses: with a shorter one, calls would keep the gateway busy.
+const MIN_DRAIN_GRACE: Duration = Duration::from_millis(250);
+/// Upper limits of the first and of every pause after a failed call to a shared service, for each gateway; the limit
+/// doubles from the first to the second. Gateways that fail together would call again together, and a queue that is
+/// too long for the service's capacity gets no gateway an answer in time.
+const FIRST_BACKOFF_PER_GATEWAY: Duration = Duration::from_millis(20);
+const MAX_BACKOFF_PER_GATEWAY: Duration = Duration::from_millis(100);
+/// What each gateway adds to the time-out of an answer of a shared service: the service goes on working on a call that
+/// timed out, so the retry only makes its queue longer.
+const ANSWER_TIMEOUT_PER_GATEWAY: Duration = Duration::from_millis(30);
+/// With a shared service a gateway counts as notified of a change 6 s after discovery had it and could be reached,
+/// whatever became of the call that was open then. For any number of gateways, the duration of that call, the pause
+/// after it and the wait for the next answer together must stay below this.
+const MAX_ANSWER_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Limit on the duration of a failed call together with the pause after it.
+const MAX_CALL_AND_BACKOFF: Duration = Duration::from_millis(3300);
+/// Limit on the pause after a call that took so long that less than this is left of `MAX_CALL_AND_BACKOFF`.
+const BACKOFF_LIMIT_AFTER_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// Which kind of service answers the calls.
 #[derive(Debug, Clone, Copy)]
 pub enum Service {
-    /// An agent of this gateway's own. What it has counts as told, and sends to a server that drains
-    /// must stop within `grace`.
-    Own { grace: Duration },
-    /// Not known yet, as the configuration is not there. Nothing is withdrawn then: a start goes by what it has.
-    Unsettled,
-    /// One service of fixed capacity for so many gateways.
+    /// An agent that only this gateway calls. The gateway counts as notified of every change that the agent has, and
+    /// sends to a draining server must stop within `drain_grace`.
+    LocalAgent { drain_grace: Duration },
+    /// Not known, as the configuration has not been read yet. The list is not withdrawn then: a gateway that starts
+    /// uses what it has.
+    Unknown,
+    /// One service of fixed capacity, shared by this number of gateways.
     Shared { gateways: u32 },
 }
 
-/// When calls are made, and how long each is waited for.
+/// The time-outs of calls and the pauses after failed ones.
 pub struct Schedule {
     rng: Rand32,
-    /// How long a watch may wait for news, and how long an answer may take beyond that.
+    /// How long discovery may hold a watch open when it has no changes.
     wait: Duration,
-    overdue: Duration,
-    /// Pauses after failures: the first one's most, the last one's, the next one's.
-    first: Duration,
-    last: Duration,
-    next: Duration,
-    /// Whether the service is shared, so that calls are spared.
+    /// The time-out of an answer, for a watch beyond `wait`.
+    answer_timeout: Duration,
+    /// Upper limits of the first pause after failed calls, of every pause, and of the next one.
+    first_backoff: Duration,
+    max_backoff: Duration,
+    next_backoff: Duration,
+    /// Whether the service is shared, so that its capacity limits the calls.
     shared: bool,
-    most_unconfirmed: Option<Duration>,
+    max_unconfirmed: Option<Duration>,
 }
 
 impl Schedule {
@@ -67,82 +73,82 @@
     pub fn new(service: Service, seed: u64) -> Schedule {
         let rng = Rand32::new(seed);
         match service {
-            Service::Own { grace } => Schedule {
-                most_unconfirmed: Some(grace.mul_f64(OWN_UNCONFIRMED_PART)),
-                ..Schedule::own(grace, rng)
+            Service::LocalAgent { drain_grace } => Schedule {
+                max_unconfirmed: Some(drain_grace.mul_f64(AGENT_UNCONFIRMED_FRACTION)),
+                ..Schedule::local_agent(drain_grace, rng)
             },
-            Service::Unsettled => Schedule::own(LEAST_GRACE, rng),
+            Service::Unknown => Schedule::local_agent(MIN_DRAIN_GRACE, rng),
             Service::Shared { gateways } => Schedule::shared(gateways, rng),
         }
     }
 
-    fn own(grace: Duration, rng: Rand32) -> Schedule {
-        let part = |part| grace.max(LEAST_GRACE).mul_f64(part).min(WAIT);
+    fn local_agent(drain_grace: Duration, rng: Rand32) -> Schedule {
+        let part = |fraction| drain_grace.max(MIN_DRAIN_GRACE).mul_f64(fraction).min(MAX_WATCH_WAIT);
         Schedule {
             rng,
-            wait: part(OWN_WAIT_PART),
-            overdue: part(OWN_OVERDUE_PART),
-            first: part(OWN_FIRST_BACK_OFF_PART),
-            last: part(OWN_LAST_BACK_OFF_PART),
-            next: part(OWN_FIRST_BACK_OFF_PART),
+            wait: part(AGENT_WAIT_FRACTION),
+            answer_timeout: part(AGENT_ANSWER_TIMEOUT_FRACTION),
+            first_backoff: part(AGENT_FIRST_BACKOFF_FRACTION),
+            max_backoff: part(AGENT_MAX_BACKOFF_FRACTION),
+            next_backoff: part(AGENT_FIRST_BACKOFF_FRACTION),
             shared: false,
-            most_unconfirmed: None,
+            max_unconfirmed: None,
         }
     }
 
     fn shared(gateways: u32, rng: Rand32) -> Schedule {
         Schedule {
             rng,
-            wait: WAIT,
-            overdue: (OVERDUE + OVERDUE_PER_GATEWAY * gateways).min(LONGEST_OVERDUE),
-            first: FIRST_BACK_OFF_PER_GATEWAY * gateways,
-            last: LAST_BACK_OFF_PER_GATEWAY * gateways,
-            next: FIRST_BACK_OFF_PER_GATEWAY * gateways,
+            wait: MAX_WATCH_WAIT,
+            answer_timeout: (ANSWER_TIMEOUT + ANSWER_TIMEOUT_PER_GATEWAY * gateways).min(MAX_ANSWER_TIMEOUT),
+            first_backoff: FIRST_BACKOFF_PER_GATEWAY * gateways,
+            max_backoff: MAX_BACKOFF_PER_GATEWAY * gateways,
+            next_backoff: FIRST_BACKOFF_PER_GATEWAY * gateways,
             shared: true,
-            most_unconfirmed: None,
+            max_unconfirmed: None,
         }
     }
 
-    /// How long a watch may wait for news.
+    /// How long discovery may hold a watch open when it has no changes.
     pub fn wait(&self) -> Duration {
         self.wait
     }
 
-    /// Whether one service answers all gateways, so that calls are spared.
+    /// Whether one service answers all gateways, so that its capacity limits the calls.
     pub fn is_shared(&self) -> bool {
         self.shared
     }
 
-    /// For how long the list may be sent by while the agent may have more: a part of the grace of drains, as a
-    /// gateway may be held up on its way to a send. `None` where only what was written counts as told.
-    pub fn most_unconfirmed(&self) -> Option<Duration> {
-        self.most_unconfirmed
+    /// How long the list may be used while the agent may have newer changes: only a fraction of the drain grace, as the
+    /// gateway may be delayed on its way to a send. `None` if a gateway counts as notified only of what it was sent.
+    pub fn max_unconfirmed(&self) -> Option<Duration> {
+        self.max_unconfirmed
     }
 
-    /// How long a call is waited for. One for the whole list is answered at once.
-    pub fn patience(&self, query: Query) -> Duration {
+    /// The time-out of a call. A call for the full list is answered without waiting for a change.
+    pub fn call_timeout(&self, query: Query) -> Duration {
         match query {
-            Query::Whole => self.overdue,
-            Query::Watch { wait, .. } => wait + self.overdue,
+            Query::Full => self.answer_timeout,
+            Query::Watch { wait, .. } => wait + self.answer_timeout,
         }
     }
 
-    /// How long to pause after a call that failed and took so long: any part of what is due, so that
-    /// gateways fall out of step, and of the longest pause there may be the later half, to spare the service.
+    /// The pause after a failed call that took `took`. Jitter over the whole interval lets gateways fall out of step;
+    /// where the back-off is cut to its limit, only the upper half of the interval is used, to spare the service.
     pub fn pause(&mut self, took: Duration) -> Duration {
-        let longest = LONGEST_BACK_OFF.saturating_sub(took).max(BACK_OFF_FROM_SILENCE);
-        let (due, any) = (self.next, self.rng.rand_float());
-        self.next = (2 * due).min(self.last);
-        if due <= longest {
-            due.mul_f32(any)
+        let limit = MAX_CALL_AND_BACKOFF.saturating_sub(took).max(BACKOFF_LIMIT_AFTER_TIMEOUT);
+        let (backoff, jitter) = (self.next_backoff, self.rng.rand_float());
+        self.next_backoff = (2 * backoff).min(self.max_backoff);
+        if backoff <= limit {
+            backoff.mul_f32(jitter)
         } else {
-            longest.mul_f32((1.0 + any) / 2.0)
+            limit.mul_f32((1.0 + jitter) / 2.0)
         }
     }
 
-    /// Begins the pauses anew, behind an answer.
+    /// Resets the back-off after an answer.
     pub fn reset(&mut self) {
-        self.next = self.first;
+        self.next_backoff = self.first_backoff;
     }
 }
 
@@ -150,13 +156,12 @@
 mod tests {
     use super::*;
 
-    /// How long a watch is waited for.
-    fn watch_patience(schedule: &Schedule) -> Duration {
-        schedule.patience(Query::Watch { after: 1, wait: schedule.wait() })
+    fn watch_timeout(schedule: &Schedule) -> Duration {
+        schedule.call_timeout(Query::Watch { after: 1, wait: schedule.wait() })
     }
 
-    /// Calls that `gateways` make in each second from their common start on if every one of them fails.
-    fn calls(gateways: u32, seconds: usize) -> Vec<usize> {
+    /// The number of calls that `gateways` make in each second after a common start if every call fails.
+    fn calls_per_second(gateways: u32, seconds: usize) -> Vec<usize> {
         let mut calls = vec![0; seconds];
         for gateway in 0..gateways {
             let mut schedule = Schedule::new(Service::Shared { gateways }, u64::from(gateway));
@@ -170,48 +175,51 @@
     }
 
     #[test]
-    fn gateways_that_are_turned_away_together_call_again_at_different_and_growing_intervals() {
-        let calls = calls(100, 20);
+    fn gateways_that_fail_together_call_again_at_different_and_growing_intervals() {
+        let calls = calls_per_second(100, 20);
         assert!(calls[0] <= 350, "{calls:?}");
         assert!(calls[8..].iter().all(|count| *count <= 50), "{calls:?}");
         assert!(calls[8..].iter().all(|count| *count > 0), "{calls:?}");
     }
 
     #[test]
-    fn an_agent_of_ones_own_that_was_silent_is_heard_again_well_within_the_grace() {
-        for grace in [300, 1000, 2000].map(Duration::from_millis) {
-            let mut schedule = Schedule::new(Service::Own { grace }, 7);
-            // Its silence ends right after it swallowed a call: the watch, or any of those that follow.
-            let mut blind = watch_patience(&schedule) + schedule.pause(watch_patience(&schedule));
+    fn a_local_agent_that_was_unresponsive_is_called_again_within_three_quarters_of_the_drain_grace() {
+        for drain_grace in [300, 1000, 2000].map(Duration::from_millis) {
+            let mut schedule = Schedule::new(Service::LocalAgent { drain_grace }, 7);
+            // The agent is back right after a call was lost: the watch, or any of the calls after it.
+            let mut blind = watch_timeout(&schedule) + schedule.pause(watch_timeout(&schedule));
             for _ in 0..1000 {
-                assert!(blind <= grace.mul_f64(0.75), "unheard for {blind:?} of {grace:?}");
-                blind = schedule.patience(Query::Whole) + schedule.pause(schedule.patience(Query::Whole));
+                assert!(blind <= drain_grace.mul_f64(0.75), "no call for {blind:?} of {drain_grace:?}");
+                blind =
+                    schedule.call_timeout(Query::Full) + schedule.pause(schedule.call_timeout(Query::Full));
             }
         }
     }
 
     #[test]
-    fn a_shared_watch_that_fell_silent_is_opened_anew_long_before_its_news_count_as_told() {
+    fn a_shared_watch_that_timed_out_is_reopened_within_4_s() {
         for gateways in [3, 100, 300] {
             let mut schedule = Schedule::new(Service::Shared { gateways }, u64::from(gateways));
-            let reopened = watch_patience(&schedule) + schedule.pause(watch_patience(&schedule));
+            let reopened = watch_timeout(&schedule) + schedule.pause(watch_timeout(&schedule));
             assert!(reopened <= Duration::from_millis(4000), "{gateways} gateways: after {reopened:?}");
         }
     }
+
     #[test]
-    fn whatever_becomes_of_calls_the_next_answer_is_due_before_a_change_counts_as_told() {
+    fn after_failed_calls_of_any_duration_the_next_answer_is_due_before_a_change_counts_as_notified() {
         for gateways in [2, 30, 300, 350, 1024] {
             let mut schedule = Schedule::new(Service::Shared { gateways }, u64::from(gateways));
-            // Refused or turned away at once, reset or spoilt on the way, given up: in any order, and again.
-            let longest = watch_patience(&schedule);
+            // Calls that were refused at once, reset, answered with invalid data or timed out, in any order and
+            // repeatedly.
+            let longest = watch_timeout(&schedule);
             for n in 0..3000 {
                 let took = longest.mul_f64(f64::from(n * 7 % 11) / 10.0);
                 let blind = took + schedule.pause(took);
-                // A call given up at the very moment of the return still leaves the next one 2 s.
-                let answer = schedule.overdue.min(Duration::from_millis(2000));
+                // Even if discovery is back just as a call times out, the next call is left 2 s.
+                let answer = schedule.answer_timeout.min(Duration::from_millis(2000));
                 assert!(
                     blind + answer <= Duration::from_millis(6000),
-                    "{gateways} gateways: blind for {blind:?}"
+                    "{gateways} gateways: no call for {blind:?}"
                 );
             }
         }
--- a/src/bin/brassport/discovery/watch.rs
+++ b/src/bin/brassport/discovery/watch.rs
@@ -104,7 +104,7 @@
     /// Asks for the whole list, or for what is newer than the revision held.
     async fn call(&self, links: &mut Links, address: SocketAddr) -> Outcome {
         let Some(after) = self.held.get() else {
-            return self.ask(&mut links.list, address, Query::Whole).await;
+            return self.ask(&mut links.list, address, Query::Full).await;
         };
         let wait = self.schedule.borrow().wait();
         let watch = self.ask(&mut links.list, address, Query::Watch { after, wait });
@@ -122,14 +122,14 @@
     async fn ask(&self, link: &mut Option<HttpConnection>, address: SocketAddr, query: Query) -> Outcome {
         let began = Instant::now();
         log::trace(SUBJECT, || format!("{address} is asked: {}", query.path()));
-        let patience = self.schedule.borrow().patience(query);
-        let outcome = timeout(patience, ask(link, address, query)).await;
+        let call_timeout = self.schedule.borrow().call_timeout(query);
+        let outcome = timeout(call_timeout, ask(link, address, query)).await;
         let outcome = outcome.unwrap_or(Outcome::Lost(CallFailure::TimedOut));
         let took = began.elapsed();
         log::trace(SUBJECT, || format!("after {:.1} ms: {outcome}", took.as_secs_f64() * 1000.0));
         if let Outcome::List(list) = &outcome {
             self.status.answered(list.rev);
-            if self.schedule.borrow().most_unconfirmed().is_some() {
+            if self.schedule.borrow().max_unconfirmed().is_some() {
                 self.status.set_unconfirmed_since(began + query.least_wait(list, took));
             }
         }
@@ -195,7 +195,7 @@
     async fn withdraw_unconfirmed(&self) {
         loop {
             let since = self.status.unconfirmed_since();
-            let until = since.zip(self.schedule.borrow().most_unconfirmed());
+            let until = since.zip(self.schedule.borrow().max_unconfirmed());
             let until = until.and_then(|(since, most)| since.checked_add(most));
             match until {
                 None => self.status.changed().await,
--- a/src/bin/brassport/startup.rs
+++ b/src/bin/brassport/startup.rs
@@ -63,7 +63,7 @@
     }
     let early = config::discovery_in_environment().map(|address| {
         let seed = u64::from(std::process::id());
-        discovery::follow(Source { address, service: Service::Unsettled, known: None, seed })
+        discovery::follow(Source { address, service: Service::Unknown, known: None, seed })
     });
     // A reading that hangs goes on: two at a time could take the file from each other where it is a pipe.
     let config = match first {
@@ -108,6 +108,6 @@
     if settings.list_on_request {
         return Service::Shared { gateways: settings.gateways };
     }
-    let grace = Duration::try_from_secs_f64(settings.drain_grace / 1000.0);
-    Service::Own { grace: grace.unwrap_or(Duration::MAX) }
+    let drain_grace = Duration::try_from_secs_f64(settings.drain_grace / 1000.0);
+    Service::LocalAgent { drain_grace: drain_grace.unwrap_or(Duration::MAX) }
 }
