--- a/src/bin/brassport/discovery/call.rs
+++ b/src/bin/brassport/discovery/call.rs
@@ -12,18 +12,18 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// How long a connection may take to come up: the agent is on this machine.
-const CONNECT: Duration = Duration::from_millis(500);
-/// Most bytes of a list: some KB for each of several thousand servers, as lists may come indented. It takes memory
-/// as it comes, and a service that sends more is not discovery.
-const LIST_LIMIT: usize = 16 << 20;
+/// The time-out for opening a connection, which is short as the agent is on this machine.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Maximum size of a list in bytes: some KB for each of several thousand servers, as lists may come indented. Memory is
+/// allocated only as data arrives, and a service that sends more is not discovery.
+const MAX_LIST_SIZE: usize = 16 << 20;
 
-/// What is asked.
+/// What a call asks for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Query {
-    /// The whole list, which is answered at once.
+    /// The full list, which is returned without waiting.
     Full,
-    /// What is newer than the revision `after`, as soon as there is something, and by the end of `wait` anyway.
+    /// The changes after revision `after`, returned as soon as there are any, and after `wait` in any case.
     Watch { after: u64, wait: Duration },
 }
 
@@ -38,9 +38,9 @@
         }
     }
 
-    /// How long discovery had this at the least before it wrote that answer, which came after `took`: news are
-    /// written at once, and a watch that ends without any has waited to its end.
-    pub fn least_wait(self, answer: &List, took: Duration) -> Duration {
+    /// The least time that discovery held this query before it wrote that answer, which arrived after `took`: changes
+    /// are written at once, and a watch that returns none was held for its whole wait.
+    pub fn min_wait(self, answer: &List, took: Duration) -> Duration {
         match self {
             Query::Watch { wait, .. } if answer.targets.is_empty() && took >= wait => wait,
             _ => Duration::ZERO,
@@ -48,14 +48,14 @@
     }
 }
 
-/// What came of a call.
+/// The result of a call.
 pub enum Outcome {
     List(List),
-    /// This machine could not begin to make it, which says nothing of the service.
-    Unmade,
-    /// The service is there and takes no more: what was told so far holds.
+    /// This machine could not start to connect, which says nothing about the service.
+    LocalError,
+    /// The service is up but at its capacity. The list held stays valid.
     Busy,
-    Lost(CallFailure),
+    Failed(CallFailure),
 }
 
 /// For the trace.
@@ -63,38 +63,38 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Outcome::List(list) => list.fmt(f),
-            Outcome::Unmade => f.write_str("not made, as this machine could not connect"),
-            Outcome::Busy => f.write_str("turned away"),
-            Outcome::Lost(loss) => loss.fmt(f),
+            Outcome::LocalError => f.write_str("not sent: this machine could not start to connect"),
+            Outcome::Busy => f.write_str("discovery is at its capacity (503)"),
+            Outcome::Failed(failure) => failure.fmt(f),
         }
     }
 }
 
-/// Makes one call, on the connection of the last one where that still stands.
-pub async fn ask(link: &mut Option<HttpConnection>, address: SocketAddr, query: Query) -> Outcome {
+/// Makes one call, on the connection of the previous one if that is still usable.
+pub async fn call(connection: &mut Option<HttpConnection>, address: SocketAddr, query: Query) -> Outcome {
     let request = Request::get(query.path()).header(HOST, address.to_string()).body(Full::default());
-    let Ok(request) = request else { return Outcome::Lost(CallFailure::Invalid) };
-    if let Some(open) = link {
+    let Ok(request) = request else { return Outcome::Failed(CallFailure::Invalid) };
+    if let Some(open) = connection {
         if !open.is_usable().await {
-            *link = None;
+            *connection = None;
         }
     }
-    let open = match link {
+    let open = match connection {
         Some(open) => open,
-        None => match timeout(CONNECT, HttpConnection::open(address)).await {
-            Ok(Ok(open)) => link.insert(open),
-            Ok(Err(error)) if retry::is_local(&error) => return Outcome::Unmade,
-            _ => return Outcome::Lost(CallFailure::Unreachable),
+        None => match timeout(CONNECT_TIMEOUT, HttpConnection::open(address)).await {
+            Ok(Ok(open)) => connection.insert(open),
+            Ok(Err(error)) if retry::is_local(&error) => return Outcome::LocalError,
+            _ => return Outcome::Failed(CallFailure::Unreachable),
         },
     };
-    match open.exchange(request, LIST_LIMIT).await {
+    match open.exchange(request, MAX_LIST_SIZE).await {
         Ok(answer) if answer.status() == StatusCode::OK => {
             let list = serde_json::from_slice(answer.body()).ok();
             let list = list.filter(|list: &List| list.all || query != Query::Full);
-            list.map_or(Outcome::Lost(CallFailure::Invalid), Outcome::List)
+            list.map_or(Outcome::Failed(CallFailure::Invalid), Outcome::List)
         }
         Ok(answer) if answer.status() == StatusCode::SERVICE_UNAVAILABLE => Outcome::Busy,
-        Ok(_) => Outcome::Lost(CallFailure::Invalid),
-        Err(_) => Outcome::Lost(CallFailure::Broken),
+        Ok(_) => Outcome::Failed(CallFailure::Invalid),
+        Err(_) => Outcome::Failed(CallFailure::Broken),
     }
 }
--- a/src/bin/brassport/discovery/mod.rs
+++ b/src/bin/brassport/discovery/mod.rs
@@ -1,5 +1,5 @@
-//! Discovery: follows the list of servers and tells of each change. Where the list has to be asked for, one
-//! service of fixed capacity answers all gateways, and calls are spared and spread.
+//! Discovery: follows the list of servers and reports each change. With `registryMode` `on_request` one service of
+//! fixed capacity answers all gateways, so calls are few and spread over time.
 
 mod call;
 mod list;
@@ -16,39 +16,38 @@
 use tokio::task::spawn_local;
 use watch::Watcher;
 
-/// Where discovery is, and how it is called.
+/// The address of discovery, and how it is called.
 #[derive(Debug, Clone, Copy)]
 pub struct Source {
     pub address: SocketAddr,
     pub service: Service,
-    /// The revision of the list that is known from the start. Where calls are to be spared, what is newer is all that
-    /// is asked for.
-    pub known: Option<u64>,
+    /// The revision of the list held at the start. A shared service is asked only for changes after it.
+    pub held_revision: Option<u64>,
     /// For the jitter.
     pub seed: u64,
 }
 
-/// What is heard of discovery.
+/// What a call to discovery brought.
 pub enum Update {
-    /// A list, or changes to the last one.
+    /// The full list, or changes to the last one.
     List(ListKind, List),
-    /// A call brought none; what is held stays in force.
+    /// The call failed; the list held stays valid.
     CallFailed,
 }
 
-/// The list of servers as it is followed.
+/// A running watch on the list of servers. Dropping `updates` ends it.
 pub struct Subscription {
-    /// Sets another source; the list is asked for anew.
+    /// Sets another source, which is then asked for the list anew.
     pub source: latest::Sender<Source>,
-    /// What was heard, in order.
+    /// The results of calls, in order.
     pub updates: UnboundedReceiver<Update>,
 }
 
-/// Follows the list for as long as somebody holds the result.
+/// Follows the list until the result is dropped.
 pub fn follow(source: Source) -> Subscription {
     let (sender, updates) = unbounded_channel();
     let watcher = Watcher::new(source, sender);
-    let (source, seen) = latest::channel(source);
-    spawn_local(watcher.follow(seen));
+    let (source, current_source) = latest::channel(source);
+    spawn_local(watcher.follow(current_source));
     Subscription { source, updates }
 }
--- a/src/bin/brassport/discovery/watch.rs
+++ b/src/bin/brassport/discovery/watch.rs
@@ -1,6 +1,6 @@
 //! The watch on discovery.
 
-use super::call::{ask, Outcome, Query};
+use super::call::{call, Outcome, Query};
 use super::list::List;
 use super::schedule::Schedule;
 use super::status::{CallFailure, DiscoveryStatus};
@@ -16,53 +16,54 @@
 use tokio::sync::watch::Receiver;
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-/// From the beginning of a watch to the next one at the least: an agent that answers at once, whatever it is
-/// asked, must not keep the gateway busy.
-const PACE: Duration = Duration::from_millis(20);
-/// From the beginning of a watch to the call that confirms it: the agent has the watch by then.
-const CONFIRM_AFTER: Duration = Duration::from_millis(5);
-/// What lines of the trace are about.
+/// Minimum time from the start of a watch to the start of the next one, so that an agent that answers every call at
+/// once does not keep the gateway busy.
+const MIN_WATCH_INTERVAL: Duration = Duration::from_millis(20);
+/// Time from the start of a watch to the call that confirms it. The agent has to have received the watch by then.
+const CONFIRMATION_DELAY: Duration = Duration::from_millis(5);
+/// The subject of trace lines.
 const SUBJECT: &str = "discovery";
 
 /// Follows the list of servers.
 ///
-/// What an agent of the gateway's own has counts as told, whether or not a watch is open, and an agent that falls
-/// silent tells it no more. So each watch is confirmed by a call on a second connection, which is answered at once:
-/// what came before the watch has been heard then, and what comes later is written to it. Where no such answer
-/// comes, servers may drain unheard, and after a part of the grace the list is withdrawn until it is there again.
+/// The gateway counts as notified of every change that its local agent has, also while no watch is open, and an agent
+/// that becomes unresponsive sends it no more. So each watch is confirmed by a call on a second connection, which the
+/// agent answers at once: with its answer no change from before the watch is missing, and later ones are written to the
+/// watch. Without it servers may be draining unnoticed, and after a fraction of the drain grace the list is withdrawn
+/// until discovery answers again.
 pub struct Watcher {
     updates: UnboundedSender<Update>,
     schedule: RefCell<Schedule>,
     status: DiscoveryStatus,
-    /// The revision held, where changes to it may be asked for.
-    held: Cell<Option<u64>>,
+    /// The revision held; `None` if the next call has to ask for the full list.
+    held_revision: Cell<Option<u64>>,
 }
 
 impl Watcher {
-    /// A watcher of that source, which reports to `updates`.
+    /// A watcher of that source, which sends to `updates`.
     pub fn new(source: Source, updates: UnboundedSender<Update>) -> Watcher {
         Watcher {
             updates,
             schedule: RefCell::new(Schedule::new(source.service, source.seed)),
-            status: DiscoveryStatus::new(source.known),
-            held: Cell::new(None),
+            status: DiscoveryStatus::new(source.held_revision),
+            held_revision: Cell::new(None),
         }
     }
 
-    /// Watches until nobody listens any more, from the start again wherever discovery moves to.
+    /// Watches until the receiver of the updates is dropped. Whenever `source` changes, it starts anew at that address.
     pub async fn follow(self, source: Receiver<Source>) {
         tokio::select! {
-            () = self.watch_wherever(source) => {}
+            () = self.watch_current_source(source) => {}
             () = self.withdraw_unconfirmed() => {}
             () = self.updates.closed() => {}
         }
     }
 
-    async fn watch_wherever(&self, mut source: Receiver<Source>) {
+    async fn watch_current_source(&self, mut source: Receiver<Source>) {
         loop {
-            let Source { address, service, known, seed } = *source.borrow_and_update();
+            let Source { address, service, held_revision, seed } = *source.borrow_and_update();
             self.schedule.replace(Schedule::new(service, seed));
-            self.held.set(known.filter(|_| self.schedule.borrow().is_shared()));
+            self.held_revision.set(held_revision.filter(|_| self.schedule.borrow().is_shared()));
             self.status.notify_changed();
             tokio::select! {
                 () = self.watch(address) => {}
@@ -71,156 +72,166 @@
         }
     }
 
-    /// Watches at one address. Whatever discovery does, the list held stays in force, unless it is withdrawn.
+    /// Watches at one address. A failed call does not change the list held; only `withdraw_unconfirmed` does.
     async fn watch(&self, address: SocketAddr) {
-        let mut links = Links::default();
+        let mut connections = Connections::default();
         loop {
-            let began = Instant::now();
-            let watches = self.held.get().is_some();
-            match self.call(&mut links, address).await {
+            let started = Instant::now();
+            let is_watch = self.held_revision.get().is_some();
+            match self.fetch(&mut connections, address).await {
                 Outcome::List(list) => {
-                    self.take_in(list);
-                    if watches {
-                        sleep_until(began + PACE).await;
+                    self.handle_list(list);
+                    if is_watch {
+                        sleep_until(started + MIN_WATCH_INTERVAL).await;
                     }
                 }
-                // An agent may fall silent any moment with news that count as told: no time is lost here.
-                Outcome::Unmade => sleep(PACE).await,
+                // No back-off here: the agent may become unresponsive at any moment, with changes that this gateway
+                // counts as notified of.
+                Outcome::LocalError => sleep(MIN_WATCH_INTERVAL).await,
                 Outcome::Busy => {
-                    links = Links::default();
-                    self.pause(began).await;
+                    connections = Connections::default();
+                    self.pause(started).await;
                 }
-                Outcome::Lost(loss) => {
-                    links = Links::default();
-                    self.status.call_failed(loss);
-                    self.report(Update::CallFailed);
-                    self.held.set(self.held.get().filter(|_| self.schedule.borrow().is_shared()));
-                    self.pause(began).await;
+                Outcome::Failed(failure) => {
+                    connections = Connections::default();
+                    self.status.call_failed(failure);
+                    self.publish(Update::CallFailed);
+                    self.held_revision
+                        .set(self.held_revision.get().filter(|_| self.schedule.borrow().is_shared()));
+                    self.pause(started).await;
                 }
             }
         }
     }
 
-    /// Asks for the whole list, or for what is newer than the revision held.
-    async fn call(&self, links: &mut Links, address: SocketAddr) -> Outcome {
-        let Some(after) = self.held.get() else {
-            return self.ask(&mut links.list, address, Query::Full).await;
+    /// Asks for the full list, or watches for changes after the revision held.
+    async fn fetch(&self, connections: &mut Connections, address: SocketAddr) -> Outcome {
+        let Some(after) = self.held_revision.get() else {
+            return self.call_in_time(&mut connections.list, address, Query::Full).await;
         };
         let wait = self.schedule.borrow().wait();
-        let watch = self.ask(&mut links.list, address, Query::Watch { after, wait });
+        let watch = self.call_in_time(&mut connections.list, address, Query::Watch { after, wait });
         if self.schedule.borrow().is_shared() {
             return watch.await;
         }
         tokio::select! {
             biased;
             outcome = watch => outcome,
-            loss = self.confirm(&mut links.confirmation, address, after) => Outcome::Lost(loss),
+            failure = self.confirm(&mut connections.confirmation, address, after) => Outcome::Failed(failure),
         }
     }
 
-    /// Makes one call. Guards against an agent that is silent: a call is given up.
-    async fn ask(&self, link: &mut Option<HttpConnection>, address: SocketAddr, query: Query) -> Outcome {
-        let began = Instant::now();
-        log::trace(SUBJECT, || format!("{address} is asked: {}", query.path()));
+    /// Makes one call, and gives it up after its time-out, as an unresponsive agent never answers it.
+    async fn call_in_time(
+        &self,
+        connection: &mut Option<HttpConnection>,
+        address: SocketAddr,
+        query: Query,
+    ) -> Outcome {
+        let started = Instant::now();
+        log::trace(SUBJECT, || format!("call to {address}: {}", query.path()));
         let call_timeout = self.schedule.borrow().call_timeout(query);
-        let outcome = timeout(call_timeout, ask(link, address, query)).await;
-        let outcome = outcome.unwrap_or(Outcome::Lost(CallFailure::TimedOut));
-        let took = began.elapsed();
+        let outcome = timeout(call_timeout, call(connection, address, query)).await;
+        let outcome = outcome.unwrap_or(Outcome::Failed(CallFailure::TimedOut));
+        let took = started.elapsed();
         log::trace(SUBJECT, || format!("after {:.1} ms: {outcome}", took.as_secs_f64() * 1000.0));
         if let Outcome::List(list) = &outcome {
             self.status.answered(list.rev);
             if self.schedule.borrow().max_unconfirmed().is_some() {
-                self.status.set_unconfirmed_since(began + query.least_wait(list, took));
+                self.status.set_unconfirmed_since(started + query.min_wait(list, took));
             }
         }
         outcome
     }
 
-    /// Confirms a watch that has begun, and waits for ever; returns where its agent can't be reached any more.
+    /// Confirms the open watch and then never returns. Returns only if the confirming call fails.
     async fn confirm(
         &self,
-        kept: &mut Option<HttpConnection>,
+        kept_connection: &mut Option<HttpConnection>,
         address: SocketAddr,
         after: u64,
     ) -> CallFailure {
-        sleep(CONFIRM_AFTER).await;
-        // A link that is dropped in the middle of a call can't be used again.
-        let mut link = kept.take();
+        sleep(CONFIRMATION_DELAY).await;
+        // Taken out for the call, as a connection that is dropped during a call cannot be used again.
+        let mut connection = kept_connection.take();
         loop {
-            match ask(&mut link, address, Query::Watch { after, wait: Duration::ZERO }).await {
+            match call(&mut connection, address, Query::Watch { after, wait: Duration::ZERO }).await {
                 Outcome::List(list) => {
-                    *kept = link;
-                    log::trace(SUBJECT, || format!("the watch is confirmed: {list}"));
+                    *kept_connection = connection;
+                    log::trace(SUBJECT, || format!("watch confirmed: {list}"));
                     self.status.confirmed();
                     if list.rev > after {
-                        self.pass_on(list);
+                        self.publish_list(list);
                     }
                     return pending().await;
                 }
-                Outcome::Unmade => sleep(PACE).await,
+                Outcome::LocalError => sleep(MIN_WATCH_INTERVAL).await,
                 Outcome::Busy => return CallFailure::TimedOut,
-                Outcome::Lost(loss) => return loss,
+                Outcome::Failed(failure) => return failure,
             }
         }
     }
 
-    /// Takes in the answer to a watch or to a call for the whole list.
-    fn take_in(&self, list: List) {
+    /// Handles the answer to a watch or to a call for the full list.
+    fn handle_list(&self, list: List) {
         self.schedule.borrow_mut().reset();
-        // Changes to a revision older than the one held are changes to another list.
-        let is_based = list.all || self.held.get().is_some_and(|held| held <= list.rev);
-        self.held.set(is_based.then_some(list.rev));
-        if is_based {
-            self.pass_on(list);
+        // A delta with a revision below the one held belongs to another list: the agent has restarted and counts anew.
+        let is_applicable = list.all || self.held_revision.get().is_some_and(|held| held <= list.rev);
+        self.held_revision.set(is_applicable.then_some(list.rev));
+        if is_applicable {
+            self.publish_list(list);
         }
     }
 
-    fn pass_on(&self, list: List) {
+    fn publish_list(&self, list: List) {
         let kind = if list.all { ListKind::Full } else { ListKind::Delta };
-        self.report(Update::List(kind, list));
+        self.publish(Update::List(kind, list));
     }
 
-    fn report(&self, update: Update) {
-        // Nobody listens any more where the program ends.
+    fn publish(&self, update: Update) {
+        // The receiver is gone when the process is about to exit.
         let _ = self.updates.send(update);
     }
 
-    /// Pauses behind a call that failed.
-    async fn pause(&self, began: Instant) {
-        let pause = self.schedule.borrow_mut().pause(began.elapsed());
+    /// Pauses after a failed call.
+    async fn pause(&self, started: Instant) {
+        let pause = self.schedule.borrow_mut().pause(started.elapsed());
         sleep(pause).await;
     }
 
-    /// Withdraws the list whenever it has been unconfirmed for too long.
+    /// Withdraws the list whenever it has been unconfirmed for longer than the schedule allows.
     async fn withdraw_unconfirmed(&self) {
         loop {
             let since = self.status.unconfirmed_since();
             let until = since.zip(self.schedule.borrow().max_unconfirmed());
-            let until = until.and_then(|(since, most)| since.checked_add(most));
+            let until = until.and_then(|(since, max)| since.checked_add(max));
             match until {
                 None => self.status.changed().await,
                 Some(until) if until > Instant::now() => tokio::select! {
                     () = sleep_until(until) => {}
                     () = self.status.changed() => {}
                 },
-                Some(_) => self.withdraw(),
+                Some(_) => self.withdraw_list(),
             }
         }
     }
 
-    fn withdraw(&self) {
-        log::line("no server is sent to: discovery fell silent as no watch was open".to_string());
+    fn withdraw_list(&self) {
+        log::line(
+            "list of servers withdrawn: discovery does not answer, and a change from between two watches may be missing"
+                .to_string(),
+        );
         self.status.confirmed();
-        self.held.set(None);
-        self.report(Update::List(ListKind::Full, List::empty()));
+        self.held_revision.set(None);
+        self.publish(Update::List(ListKind::Full, List::empty()));
     }
 }
 
-/// The connections to discovery, as far as they stand.
+/// The open connections to discovery.
 #[derive(Default)]
-struct Links {
-    /// For lists and watches.
+struct Connections {
+    /// For full lists and watches.
     list: Option<HttpConnection>,
-    /// For the calls that confirm watches.
+    /// For the calls that confirm a watch.
     confirmation: Option<HttpConnection>,
 }
--- a/src/bin/brassport/main.rs
+++ b/src/bin/brassport/main.rs
@@ -167,7 +167,7 @@
     spawn_local(reload::follow(hangups, move |config| {
         source.send_modify(|source| {
             // Another place may number its revisions otherwise.
-            *source = Source { address: config.discovery, known: None, ..*source };
+            *source = Source { address: config.discovery, held_revision: None, ..*source };
         });
         counter.send_if_modified(|held| std::mem::replace(held, config.counter) != config.counter);
     }));
--- a/src/bin/brassport/startup.rs
+++ b/src/bin/brassport/startup.rs
@@ -63,7 +63,7 @@
     }
     let early = config::discovery_in_environment().map(|address| {
         let seed = u64::from(std::process::id());
-        discovery::follow(Source { address, service: Service::Unknown, known: None, seed })
+        discovery::follow(Source { address, service: Service::Unknown, held_revision: None, seed })
     });
     // A reading that hangs goes on: two at a time could take the file from each other where it is a pipe.
     let config = match first {
@@ -92,7 +92,7 @@
     Source {
         address: config.discovery,
         service: discovery_service(&config.settings),
-        known: config.known.all.then_some(config.known.rev),
+        held_revision: config.known.all.then_some(config.known.rev),
         seed: config.seed,
     }
 }
