--- a/src/bin/brassport/config.rs
+++ b/src/bin/brassport/config.rs
@@ -1,4 +1,4 @@
-//! Configuration: the environment and the JSON file it names, checked and turned into the module's terms.
+//! The configuration: the environment and the JSON file that it names, validated and converted to [`Settings`].
 
 use crate::discovery::List;
 use crate::retry::{self, Backoff};
@@ -10,33 +10,33 @@
 use tokio::task::spawn_blocking;
 use tokio::time::{sleep, timeout_at, Instant};
 
-/// How long a call of the counter may take where the settings do not say, and the longest that they may say:
-/// a request waits for it. Milliseconds.
-const COUNTER_TIMEOUT: f64 = 30.0;
-const MOST_COUNTER_TIMEOUT: f64 = 250.0;
+/// The time-out of a call to the counter, in milliseconds: the default, and the maximum that settings may ask for. A
+/// request waits for the call, so a longer one delays requests while the counter does not answer.
+const DEFAULT_COUNTER_TIMEOUT_MS: f64 = 30.0;
+const MAX_COUNTER_TIMEOUT_MS: f64 = 250.0;
 
-/// Names the variable that tells where discovery is.
+/// The environment variable with the address of discovery.
 const DISCOVERY_VARIABLE: &str = "BALANCER_DISCOVERY";
 
-/// All that a front door is told at its start.
+/// The configuration of a gateway.
 pub struct Config {
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
-    /// Where there is none, nothing is counted.
+    /// If `None`, no calls are made to the counter.
     pub counter: Option<SocketAddr>,
     pub counter_timeout: Duration,
     pub seed: u64,
-    pub sockets: usize,
-    /// Bytes.
-    pub memory: usize,
-    pub known: List,
+    pub max_sockets: usize,
+    pub memory_bytes: usize,
+    /// The list of servers as last stored; possibly stale.
+    pub cached_list: List,
     pub names: Names,
     pub settings: Settings,
     pub connect_timeout: Duration,
     pub idle_timeout: Duration,
 }
 
-/// Names that stand on the sockets, each at the index by which the module knows it.
+/// The names used in requests and lists, in the order of their indices in [`Settings`].
 pub struct Names {
     pub classes: Vec<String>,
     pub plans: Vec<String>,
@@ -44,14 +44,14 @@
 }
 
 #[derive(Deserialize)]
-struct File {
+struct ConfigFile {
     listen: Option<String>,
     discovery: Option<String>,
     counter: Option<String>,
     seed: String,
     limits: Limits,
     known: List,
-    settings: Told,
+    settings: FileSettings,
 }
 
 #[derive(Deserialize)]
@@ -62,7 +62,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Told {
+struct FileSettings {
     areas: Vec<String>,
     balancers: u32,
     ordinal: u32,
@@ -72,8 +72,8 @@
     bounds: Bounds,
     rules: Rules,
     family_info: FamilyInfo,
-    classes: Vec<ToldClass>,
-    plans: Vec<ToldPlan>,
+    classes: Vec<FileClass>,
+    plans: Vec<FilePlan>,
 }
 
 #[derive(Deserialize, PartialEq)]
@@ -118,10 +118,10 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct ToldClass {
+struct FileClass {
     name: String,
     semantics: Semantics,
-    /// These two are for keyed classes alone. Where they are missing nothing is taken to be dropped.
+    /// `group` and `dedup_window` apply to guarded classes only. The defaults mean that servers drop no duplicates.
     #[serde(default)]
     group: Group,
     #[serde(default)]
@@ -151,7 +151,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct ToldPlan {
+struct FilePlan {
     name: String,
     units_per_s: f64,
     store_size: f64,
@@ -164,80 +164,80 @@
     tolerance: f64,
 }
 
-/// Which of the environment and the file goes before the other in what both say.
+/// Whether the environment or the file takes precedence where both give an address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Precedence {
-    /// At the very start: the environment is as new as the file.
+    /// At the start of the process: the environment is as new as the file.
     Environment,
-    /// Later: the file may have been replaced meanwhile, and the environment is of the start.
+    /// Later: the file may have been replaced since, while the environment dates from the start.
     File,
 }
 
-/// Why there is no configuration; in one plain line.
+/// Why the configuration could not be loaded. Displayed as one line.
 #[derive(Debug)]
-pub enum Problem {
-    /// The file can't be read, for now or for good.
+pub enum ConfigError {
+    /// The file cannot be read, temporarily or permanently.
     Unreadable(String, io::Error),
-    /// The file is cut short: it is still being written.
+    /// The file is truncated, as it is still being written.
     Incomplete(serde_json::Error),
-    /// Something is missing or makes no sense.
+    /// A value is missing or invalid.
     Invalid(String),
 }
 
-impl Problem {
-    /// The file has not been read in time.
-    pub fn timed_out() -> Problem {
+impl ConfigError {
+    /// The error for a file that was not read within the time-out.
+    pub fn timed_out() -> ConfigError {
         path()
-            .map_or_else(|problem| problem, |path| Problem::Unreadable(path, io::ErrorKind::TimedOut.into()))
+            .map_or_else(|error| error, |path| ConfigError::Unreadable(path, io::ErrorKind::TimedOut.into()))
     }
 
-    /// Whether it may be gone a moment later without anybody's doing.
+    /// Whether a later attempt may succeed without a change by an operator.
     pub fn is_transient(&self) -> bool {
         match self {
-            Problem::Unreadable(_, error) => retry::is_transient(error),
-            Problem::Incomplete(_) => true,
-            Problem::Invalid(_) => false,
+            ConfigError::Unreadable(_, error) => retry::is_transient(error),
+            ConfigError::Incomplete(_) => true,
+            ConfigError::Invalid(_) => false,
         }
     }
 }
 
-impl fmt::Display for Problem {
+impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Problem::Unreadable(path, error) => write!(f, "cannot read {path}: {error}"),
-            Problem::Incomplete(error) => write!(f, "configuration: {error}"),
-            Problem::Invalid(text) => f.write_str(text),
+            ConfigError::Unreadable(path, error) => write!(f, "cannot read {path}: {error}"),
+            ConfigError::Incomplete(error) => write!(f, "configuration: {error}"),
+            ConfigError::Invalid(text) => f.write_str(text),
         }
     }
 }
 
-/// Reads and checks the whole configuration. The file is read on a thread of its own: a folder that hangs holds up
-/// nothing else. `first` is asked once the file has been read.
+/// Reads and validates the configuration. The file is read on a separate thread, so that a file system that hangs blocks
+/// nothing else. `precedence` is called once the file has been read.
 ///
 /// # Errors
-/// What is missing or makes no sense, or that the file can't be read.
-pub async fn read(first: impl FnOnce() -> Precedence) -> Result<Config, Problem> {
+/// If the file cannot be read, or a value is missing or invalid.
+pub async fn read(precedence: impl FnOnce() -> Precedence) -> Result<Config, ConfigError> {
     let path = path()?;
     let read_from = path.clone();
     let reading = spawn_blocking(move || fs::read(read_from));
     let read = reading.await.unwrap_or_else(|error| Err(error.into()));
-    let text = read.map_err(|error| Problem::Unreadable(path, error))?;
-    check(parse(&text)?, first()).map_err(Problem::Invalid)
+    let text = read.map_err(|error| ConfigError::Unreadable(path, error))?;
+    validate(parse(&text)?, precedence()).map_err(ConfigError::Invalid)
 }
 
-/// The text as a configuration, its values not checked yet.
-fn parse(text: &[u8]) -> Result<File, Problem> {
+/// Parses the file without validating its values.
+fn parse(text: &[u8]) -> Result<ConfigFile, ConfigError> {
     serde_json::from_slice(text).map_err(|error| {
-        if error.is_eof() || is_cut_number(text, &error) {
-            Problem::Incomplete(error)
+        if error.is_eof() || is_truncated_number(text, &error) {
+            ConfigError::Incomplete(error)
         } else {
-            Problem::Invalid(format!("configuration: {error}"))
+            ConfigError::Invalid(format!("configuration: {error}"))
         }
     })
 }
 
-/// Whether the end of the text cuts a number off, which is told as an invalid number and not as an end.
-fn is_cut_number(text: &[u8], error: &serde_json::Error) -> bool {
+/// Whether the text ends within a number. serde_json reports that as an invalid number, not as an unexpected end.
+fn is_truncated_number(text: &[u8], error: &serde_json::Error) -> bool {
     let lines = text.iter().filter(|byte| **byte == b'\n').count() + 1;
     let columns = text.iter().rev().take_while(|byte| **byte != b'\n').count();
     let at_the_end = (error.line(), error.column()) >= (lines, columns);
@@ -245,129 +245,131 @@
     error.is_syntax() && at_the_end && in_number
 }
 
-/// Reads the configuration as [`read`] does; what can't be read for a moment, or is still being written, is read again
-/// until `patience` is over.
+/// Reads the configuration as [`read`] does; a file that temporarily cannot be read, or is still being written, is read
+/// again until `time_limit` is over.
 ///
 /// # Errors
-/// What is missing or makes no sense, or that the file can't be read.
-pub async fn read_within(patience: Duration, first: Precedence) -> Result<Config, Problem> {
-    let until = Instant::now() + patience;
+/// If the file cannot be read, or a value is missing or invalid.
+pub async fn read_within(time_limit: Duration, precedence: Precedence) -> Result<Config, ConfigError> {
+    let until = Instant::now() + time_limit;
     let mut pauses = Backoff::new();
     loop {
-        let problem = match timeout_at(until, read(|| first)).await {
+        let error = match timeout_at(until, read(|| precedence)).await {
             Ok(Ok(config)) => return Ok(config),
-            Ok(Err(problem)) => problem,
-            Err(_) => return Err(Problem::timed_out()),
+            Ok(Err(error)) => error,
+            Err(_) => return Err(ConfigError::timed_out()),
         };
-        if !problem.is_transient() || Instant::now() >= until {
-            return Err(problem);
+        if !error.is_transient() || Instant::now() >= until {
+            return Err(error);
         }
-        pauses.report("reading the configuration", &problem);
+        pauses.report("reading the configuration", &error);
         sleep(pauses.next()).await;
     }
 }
 
-/// Where discovery is, if the environment says so.
+/// The address of discovery that the environment gives, if any.
 pub fn discovery_in_environment() -> Option<SocketAddr> {
     env::var(DISCOVERY_VARIABLE).ok()?.parse().ok()
 }
 
-fn path() -> Result<String, Problem> {
-    env::var("BALANCER_CONFIG").map_err(|_| Problem::Invalid("BALANCER_CONFIG is not set".into()))
+fn path() -> Result<String, ConfigError> {
+    env::var("BALANCER_CONFIG").map_err(|_| ConfigError::Invalid("BALANCER_CONFIG is not set".into()))
 }
 
-fn check(file: File, first: Precedence) -> Result<Config, String> {
-    let address = |name: &str, written: Option<String>| {
-        let said = env::var(name).ok();
-        let text = if first == Precedence::File { written.or(said) } else { said.or(written) };
+fn validate(file: ConfigFile, precedence: Precedence) -> Result<Config, String> {
+    let address = |name: &str, from_file: Option<String>| {
+        let from_env = env::var(name).ok();
+        let text =
+            if precedence == Precedence::File { from_file.or(from_env) } else { from_env.or(from_file) };
         let text = text.ok_or_else(|| format!("{name} is not set"))?;
-        text.parse::<SocketAddr>().map_err(|_| format!("{name}: '{text}' is no address with a port"))
+        text.parse::<SocketAddr>().map_err(|_| format!("{name}: '{text}' is not an IP address with a port"))
     };
     let seed = u64::from_str_radix(&file.seed, 16)
-        .map_err(|_| format!("seed: '{}' is no number in hexadecimal", file.seed))?;
-    let told = file.settings;
+        .map_err(|_| format!("seed: '{}' is not a hexadecimal number of up to 64 bits", file.seed))?;
+    let settings = file.settings;
     let names = Names {
-        classes: told.classes.iter().map(|class| class.name.clone()).collect(),
-        plans: told.plans.iter().map(|plan| plan.name.clone()).collect(),
-        zones: told.areas,
+        classes: settings.classes.iter().map(|class| class.name.clone()).collect(),
+        plans: settings.plans.iter().map(|plan| plan.name.clone()).collect(),
+        zones: settings.areas,
     };
-    let bounds = told.bounds;
+    let bounds = settings.bounds;
     let counter = file.counter.and_then(|text| text.parse::<SocketAddr>().ok());
-    let timeout = told.family_info.counter_timeout;
-    let known_time = timeout.is_finite() && timeout > 0.0;
-    let timeout = if known_time { timeout.min(MOST_COUNTER_TIMEOUT) } else { COUNTER_TIMEOUT };
+    let timeout_ms = settings.family_info.counter_timeout;
+    let is_valid_timeout = timeout_ms.is_finite() && timeout_ms > 0.0;
+    let timeout_ms =
+        if is_valid_timeout { timeout_ms.min(MAX_COUNTER_TIMEOUT_MS) } else { DEFAULT_COUNTER_TIMEOUT_MS };
     let settings = Settings {
-        gateways: told.balancers,
-        ordinal: told.ordinal,
-        zone: told.zone,
-        classes: told.classes.iter().map(class).collect(),
-        plans: told.plans.iter().map(plan).collect(),
-        max_units: told.family_info.most_units,
-        meter_period: told.family_info.use_period,
+        gateways: settings.balancers,
+        ordinal: settings.ordinal,
+        zone: settings.zone,
+        classes: settings.classes.iter().map(class).collect(),
+        plans: settings.plans.iter().map(plan).collect(),
+        max_units: settings.family_info.most_units,
+        meter_period: settings.family_info.use_period,
         max_attempts: bounds.max_attempts,
         may_duplicate: bounds.may_duplicate,
         may_cancel: bounds.cancel,
         max_retry_after: if bounds.retry_after { bounds.max_retry_after } else { 0.0 },
-        drain_grace: told.rules.stop_sending_within,
-        cold_capacity: told.rules.cold_from,
-        warm_up_time: told.rules.cold,
-        overload_multiple: told.rules.tip_multiple,
-        overload_after: told.rules.fall,
-        tick: told.tick,
-        list_on_request: told.registry_mode == RegistryMode::OnRequest,
-        counter: told.family_info.counter && counter.is_some(),
+        drain_grace: settings.rules.stop_sending_within,
+        cold_capacity: settings.rules.cold_from,
+        warm_up_time: settings.rules.cold,
+        overload_multiple: settings.rules.tip_multiple,
+        overload_after: settings.rules.fall,
+        tick: settings.tick,
+        list_on_request: settings.registry_mode == RegistryMode::OnRequest,
+        counter: settings.family_info.counter && counter.is_some(),
     };
     settings.validate().map_err(|error| error.to_string())?;
-    let time = |name: &str, ms: f64| match Duration::try_from_secs_f64(ms / 1000.0) {
-        Ok(time) if !time.is_zero() => Ok(time),
-        _ => Err(format!("setting {name}: {ms} is no length of time")),
+    let duration = |name: &str, ms: f64| match Duration::try_from_secs_f64(ms / 1000.0) {
+        Ok(duration) if !duration.is_zero() => Ok(duration),
+        _ => Err(format!("setting {name}: {ms} ms is not a valid duration")),
     };
     Ok(Config {
         listen: address("BALANCER_LISTEN", file.listen)?,
         discovery: address(DISCOVERY_VARIABLE, file.discovery)?,
         counter,
-        counter_timeout: Duration::from_secs_f64(timeout / 1000.0),
+        counter_timeout: Duration::from_secs_f64(timeout_ms / 1000.0),
         seed,
-        sockets: file.limits.sockets,
-        memory: file.limits.memory_mb.saturating_mul(1 << 20),
-        known: file.known,
+        max_sockets: file.limits.sockets,
+        memory_bytes: file.limits.memory_mb.saturating_mul(1 << 20),
+        cached_list: file.known,
         names,
         settings,
-        connect_timeout: time("bounds.connectTimeout", bounds.connect_timeout)?,
-        idle_timeout: time("bounds.connIdle", bounds.conn_idle)?,
+        connect_timeout: duration("bounds.connectTimeout", bounds.connect_timeout)?,
+        idle_timeout: duration("bounds.connIdle", bounds.conn_idle)?,
     })
 }
 
-fn class(told: &ToldClass) -> Class {
-    let scope = match told.group {
+fn class(class: &FileClass) -> Class {
+    let scope = match class.group {
         Group::All => DedupScope::All,
         Group::Zone => DedupScope::Zone,
         Group::Cell => DedupScope::Cell,
     };
     Class {
-        worth: told.worth,
-        latency_target: told.slo,
-        deadline: told.deadline,
-        late_share: told.late_share,
-        idempotency: match told.semantics {
+        worth: class.worth,
+        latency_target: class.slo,
+        deadline: class.deadline,
+        late_share: class.late_share,
+        idempotency: match class.semantics {
             Semantics::Free => Idempotency::Idempotent,
-            Semantics::Guarded => Idempotency::Keyed { scope, window: told.dedup_window },
+            Semantics::Guarded => Idempotency::Keyed { scope, window: class.dedup_window },
             Semantics::SingleShot => Idempotency::NonIdempotent,
         },
     }
 }
 
-fn plan(told: &ToldPlan) -> Plan {
+fn plan(plan: &FilePlan) -> Plan {
     Plan {
-        rate: told.units_per_s,
-        burst: told.store_size,
-        max_concurrent: told.concurrency,
-        price: told.price,
-        excess_worth: told.excess_worth,
-        excess_cost: told.overrun_cost,
-        ceiling_rate: told.never_over_rate,
-        ceiling_burst: told.cap_depth,
-        ceiling_overdraft: told.tolerance,
+        rate: plan.units_per_s,
+        burst: plan.store_size,
+        max_concurrent: plan.concurrency,
+        price: plan.price,
+        excess_worth: plan.excess_worth,
+        excess_cost: plan.overrun_cost,
+        ceiling_rate: plan.never_over_rate,
+        ceiling_burst: plan.cap_depth,
+        ceiling_overdraft: plan.tolerance,
     }
 }
 
--- a/src/bin/brassport/config/tests.rs
+++ b/src/bin/brassport/config/tests.rs
@@ -1,9 +1,9 @@
-//! Which texts are taken for a configuration that is still being written.
+//! Which texts are treated as a configuration file that is still being written.
 
 use super::*;
 
-/// Numbers of all forms, names and words that take more bytes than letters.
-const WHOLE: &str = r#"{"name":"n\u00e9é","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","counter":null,
+/// A complete file with numbers in all forms, and strings with escapes and multi-byte characters.
+const COMPLETE: &str = r#"{"name":"n\u00e9é","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","counter":null,
   "seed":"8c1f30d27a5be964","limits":{"cores":1.0,"sockets":1024,"memory_mb":192},
   "known":{"rev":1,"all":true,"targets":[]},
   "settings":{"areas":["a"],"balancers":3,"ordinal":0,"zone":0,"tick":4.25e0,"registryMode":"pushed",
@@ -14,21 +14,21 @@
    "plans":[{"name":"starter","unitsPerS":-1.0,"storeSize":0.0,"concurrency":0,"price":1.0,"excessWorth":0.0,
              "overrunCost":0.8,"neverOverRate":0.0,"capDepth":0.0,"tolerance":0.0}]}}"#;
 
-// Cut behind `1.`, `2.4e` or `-` the text ends in what is no number, which the soak met before this test did:
-// `configuration: invalid number at line 1 column 1818`, and the start was over.
+// A text that is truncated after `1.`, `2.4e` or `-` ends in an invalid number, not in an unexpected end. A gateway that
+// read such a file at its start exited with `configuration: invalid number at line 1 column 1818`.
 #[test]
-fn a_text_that_is_cut_short_anywhere_is_still_being_written() {
-    assert!(parse(WHOLE.as_bytes()).is_ok());
-    for length in 0..WHOLE.len() {
-        let problem = parse(&WHOLE.as_bytes()[..length]).err();
-        let cut = &WHOLE.as_bytes()[length.saturating_sub(12)..length];
-        let cut = String::from_utf8_lossy(cut);
-        assert!(matches!(problem, Some(Problem::Incomplete(_))), "cut behind {cut:?}: {problem:?}");
+fn a_file_truncated_at_any_byte_is_treated_as_still_being_written() {
+    assert!(parse(COMPLETE.as_bytes()).is_ok());
+    for length in 0..COMPLETE.len() {
+        let error = parse(&COMPLETE.as_bytes()[..length]).err();
+        let end = &COMPLETE.as_bytes()[length.saturating_sub(12)..length];
+        let end = String::from_utf8_lossy(end);
+        assert!(matches!(error, Some(ConfigError::Incomplete(_))), "truncated after {end:?}: {error:?}");
     }
 }
 
 #[test]
-fn a_whole_text_that_makes_no_sense_is_no_configuration() {
+fn a_complete_text_that_is_not_a_valid_configuration_is_rejected() {
     for text in [
         "hello",
         "{}",
@@ -37,10 +37,10 @@
         "{\"name\":1]",
         "{\"seed\":01}",
         "{\"seed\":1.}",
-        &WHOLE.replace("1024", "-1"),
-        &format!("{WHOLE} and more"),
+        &COMPLETE.replace("1024", "-1"),
+        &format!("{COMPLETE} and more"),
     ] {
-        let problem = parse(text.as_bytes()).err();
-        assert!(matches!(problem, Some(Problem::Invalid(_))), "{text:.60}: {problem:?}");
+        let error = parse(text.as_bytes()).err();
+        assert!(matches!(error, Some(ConfigError::Invalid(_))), "{text:.60}: {error:?}");
     }
 }
--- a/src/bin/brassport/main.rs
+++ b/src/bin/brassport/main.rs
@@ -140,7 +140,7 @@
     let (counter, seen) = watch::channel(config.counter);
     let counted = dispatcher.clone();
     spawn_local(line.run(seen, move |report| counted.counter_reported(report)));
-    dispatcher.servers(ListKind::Cached, config.known);
+    dispatcher.servers(ListKind::Cached, config.cached_list);
     spawn_local(dispatcher.clone().keep_time());
     let Subscription { source, updates } = discovery;
     let (told, first_word) = oneshot::channel();
@@ -155,7 +155,7 @@
         names: config.names,
         settings: config.settings,
         phase: seen,
-        bodies: Semaphore::new((config.memory / BODIES_PART).min(Semaphore::MAX_PERMITS)),
+        bodies: Semaphore::new((config.memory_bytes / BODIES_PART).min(Semaphore::MAX_PERMITS)),
     });
     // Until then the list held may be older than what the agent has.
     if has_agent {
--- a/src/bin/brassport/startup.rs
+++ b/src/bin/brassport/startup.rs
@@ -1,7 +1,7 @@
-//! The start of a gateway: its configuration, its listening socket, and discovery.
+//! The start of a gateway: reads the configuration, opens the listening socket, and starts following discovery.
 
 use crate::acceptor;
-use crate::config::{self, Config, Precedence, Problem};
+use crate::config::{self, Config, ConfigError, Precedence};
 use crate::discovery::{self, Service, Source, Subscription};
 use crate::retry;
 use springusher::Settings;
@@ -12,70 +12,70 @@
 use tokio::sync::Semaphore;
 use tokio::time::{timeout, Instant};
 
-/// Descriptors that are neither a client's nor a server's: streams, event queue, listener, discovery.
-const OWN_DESCRIPTORS: usize = 32;
-/// How long a start goes on trying what the system can't do for a moment: it has to be ready within 30 s.
+/// File descriptors kept for everything but connections of clients and servers: standard streams, event queue, listener,
+/// discovery. With fewer of them, those could fail to open once clients and servers use up the rest.
+const RESERVED_DESCRIPTORS: usize = 32;
+/// How long the start retries operations that fail temporarily. The gateway has to be ready within 30 s of its start.
 pub const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// How long the first try of reading the configuration may take before discovery is asked meanwhile.
-const FIRST_READ_PATIENCE: Duration = Duration::from_millis(250);
+/// How long the first reading of the configuration may take before discovery is called in parallel.
+const FIRST_READ_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// What a gateway starts from.
+/// What a gateway needs to begin serving.
 pub struct Prepared {
     pub config: Config,
     pub listener: TcpListener,
     pub listening_since: Instant,
-    /// Descriptors for clients and servers.
+    /// A permit for each file descriptor that clients and servers may use.
     pub descriptors: Arc<Semaphore>,
     pub discovery: Subscription,
 }
 
-/// Reads the configuration, begins to follow the list of servers, and listens.
+/// Reads the configuration, starts following the list of servers, and listens.
 ///
 /// # Errors
-/// What of it can't be had, in one plain line.
+/// Which of these failed and why, in one line.
 pub async fn prepare() -> Result<Prepared, String> {
-    let (config, discovery) = read_and_follow().await.map_err(|problem| problem.to_string())?;
-    let most = config.sockets.min(system_descriptors());
-    let spare = most.checked_sub(OWN_DESCRIPTORS).filter(|spare| *spare > 0);
-    let spare = spare.ok_or_else(|| format!("limits.sockets: {most} are too few"))?;
-    let descriptors = Arc::new(Semaphore::new(spare.min(Semaphore::MAX_PERMITS)));
+    let (config, discovery) = read_and_follow().await.map_err(|error| error.to_string())?;
+    let limit = config.max_sockets.min(descriptor_limit());
+    let available = limit.checked_sub(RESERVED_DESCRIPTORS).filter(|available| *available > 0);
+    let available = available
+        .ok_or_else(|| format!("limits.sockets: {limit} is too low, must be above {RESERVED_DESCRIPTORS}"))?;
+    let descriptors = Arc::new(Semaphore::new(available.min(Semaphore::MAX_PERMITS)));
     let bind = async || acceptor::listen(config.listen);
     let listener = retry::retry_until(START_TIMEOUT, "listening", bind).await;
     let listener = listener.map_err(|error| format!("cannot listen on {}: {error}", config.listen))?;
     Ok(Prepared { config, listener, listening_since: Instant::now(), descriptors, discovery })
 }
 
-/// Reads the configuration and begins to follow the list. What the agent has counts as told from the start of the
-/// process on: where the file is late, discovery is asked at the address that the environment names.
-async fn read_and_follow() -> Result<(Config, Subscription), Problem> {
-    let began = Instant::now();
-    let is_late = || began.elapsed() >= FIRST_READ_PATIENCE;
+/// Reads the configuration and starts following the list. The gateway counts as notified of what its agent has from the
+/// start of the process on, so while the file cannot be read, discovery is called at the address in the environment.
+async fn read_and_follow() -> Result<(Config, Subscription), ConfigError> {
+    let started = Instant::now();
+    let is_late = || started.elapsed() >= FIRST_READ_TIMEOUT;
     let mut first_reading =
         pin!(config::read(|| if is_late() { Precedence::File } else { Precedence::Environment }));
-    let first = timeout(FIRST_READ_PATIENCE, &mut first_reading).await.ok();
+    let first = timeout(FIRST_READ_TIMEOUT, &mut first_reading).await.ok();
     match first {
         Some(Ok(config)) => {
             let discovery = discovery::follow(source(&config));
             return Ok((config, discovery));
         }
-        Some(Err(problem)) if !problem.is_transient() => return Err(problem),
+        Some(Err(error)) if !error.is_transient() => return Err(error),
         Some(Err(_)) | None => {}
     }
     let early = config::discovery_in_environment().map(|address| {
         let seed = u64::from(std::process::id());
         discovery::follow(Source { address, service: Service::Unknown, held_revision: None, seed })
     });
-    // A reading that hangs goes on: two at a time could take the file from each other where it is a pipe.
+    // A reading that hangs is continued, not restarted: if the file is a pipe, two readings would split its content.
     let config = match first {
-        None => timeout(START_TIMEOUT, first_reading).await.unwrap_or_else(|_| Err(Problem::timed_out())),
-        Some(failed) => failed,
+        None => timeout(START_TIMEOUT, first_reading).await.unwrap_or_else(|_| Err(ConfigError::timed_out())),
+        Some(failure) => failure,
     };
-    let patience_left = START_TIMEOUT.saturating_sub(began.elapsed());
+    let time_left = START_TIMEOUT.saturating_sub(started.elapsed());
     let config = match config {
-        // By now the file may have been replaced, and is newer than the environment.
-        Err(problem) if problem.is_transient() => {
-            config::read_within(patience_left, Precedence::File).await?
-        }
+        // The file may have been replaced since the start and be newer than the environment.
+        Err(error) if error.is_transient() => config::read_within(time_left, Precedence::File).await?,
         config => config?,
     };
     let discovery = match early {
@@ -92,18 +92,18 @@
     Source {
         address: config.discovery,
         service: discovery_service(&config.settings),
-        held_revision: config.known.all.then_some(config.known.rev),
+        held_revision: config.cached_list.all.then_some(config.cached_list.rev),
         seed: config.seed,
     }
 }
 
-/// How many descriptors the system lets this process have.
-fn system_descriptors() -> usize {
+/// The system's limit on open file descriptors of this process.
+fn descriptor_limit() -> usize {
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
     limit.and_then(|limit| usize::try_from(limit).ok()).unwrap_or(usize::MAX)
 }
 
-/// How the settings say that discovery is called.
+/// The kind of discovery service that the settings describe.
 fn discovery_service(settings: &Settings) -> Service {
     if settings.list_on_request {
         return Service::Shared { gateways: settings.gateways };
