--- a/src/bin/brassport/main.rs
+++ b/src/bin/brassport/main.rs
@@ -1,4 +1,4 @@
-//! The front door: one program on real sockets round the decision module of the crate `springusher`.
+//! The gateway process: real sockets and timers around the decision logic of the crate `springusher`.
 #![forbid(unsafe_code)]
 
 mod acceptor;
@@ -39,20 +39,24 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{sleep, timeout};
 
-/// How long clients wait at a start for the agent's first word, which comes at once from an agent that is there.
-const FIRST_WORD_PATIENCE: Duration = Duration::from_millis(250);
-/// The part of the memory that the bodies of clients may take all together.
-const BODIES_PART: usize = 8;
-/// After SIGTERM clients still come for up to 0.4 s; the listener stays open for longer than that. What is
-/// in hand then may take as long as a client waits, 3 s at the most, before it fails, and such failures so
-/// long to be written: with what came last, the end is due before SIGKILL, 0.7 s after the longest wait.
-const LEAVING: Duration = Duration::from_millis(600);
-const CLOSING: Duration = Duration::from_millis(3000);
-const LAST_WORDS: Duration = Duration::from_millis(100);
+/// How long a start waits for the agent's first answer before it serves clients. An agent that is up answers at once;
+/// without its answer the cached list is used, which may be stale. A longer time-out delays clients while the agent is
+/// down.
+const FIRST_UPDATE_TIMEOUT: Duration = Duration::from_millis(250);
+/// The bodies of all requests together may take the memory limit divided by this.
+const BODY_MEMORY_DIVISOR: usize = 8;
+/// How long the listener stays open at least after SIGTERM: clients still connect for up to 0.4 s, and would be refused
+/// after a shorter time.
+const LEAVING_TIME: Duration = Duration::from_millis(600);
+/// Upper limit of the time that open requests then have before they fail: no client waits longer than 3 s. SIGKILL comes
+/// 0.7 s after the longest wait, and `LEAVING_TIME` and this together have to end before it.
+const MAX_CLOSING_TIME: Duration = Duration::from_millis(3000);
+/// The part of the closing time kept for writing error answers to requests that did not finish.
+const FINAL_ANSWERS_TIME: Duration = Duration::from_millis(100);
 
 fn main() -> ExitCode {
-    // Guards against requests stranded by a task that is no more: a panic anywhere ends the process, also where
-    // nobody takes its report.
+    // A panic anywhere ends the process, also in a task whose result is never read: the requests that the task served
+    // would otherwise never be answered.
     std::panic::set_hook(Box::new(|panic| {
         let trace = Backtrace::capture();
         match trace.status() {
@@ -63,16 +67,16 @@
     }));
     let signals = match CaughtSignals::new() {
         Ok(signals) => signals,
-        Err(error) => return fail(&format!("cannot take signals: {error}")),
+        Err(error) => return fail(&format!("cannot install signal handlers: {error}")),
     };
     match run(signals) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(problem) => fail(&problem),
+        Err(error) => fail(&error),
     }
 }
 
-fn fail(problem: &str) -> ExitCode {
-    log::last_line(problem.to_string());
+fn fail(error: &str) -> ExitCode {
+    log::last_line(error.to_string());
     ExitCode::FAILURE
 }
 
@@ -87,14 +91,16 @@
         .map_err(|error| format!("cannot start: {error}"))?;
     let Some(runtime) = runtime else { return Ok(()) };
     let result = LocalSet::new().block_on(&runtime, start(signals));
-    // A file may still be on its way in, for ever.
+    // Does not wait for a reading of the configuration file that may hang forever.
     runtime.shutdown_background();
     result
 }
 
-/// Starts the front door and runs it to its end. A SIGTERM until it listens ends the start, as nothing is in hand.
+/// Starts the gateway and runs it until it exits. A SIGTERM before it listens ends the start at once, as there are no
+/// requests to finish.
 async fn start(signals: CaughtSignals) -> Result<(), String> {
-    let mut signals = signals.wait_on_runtime().map_err(|error| format!("cannot take signals: {error}"))?;
+    let mut signals =
+        signals.wait_on_runtime().map_err(|error| format!("cannot install signal handlers: {error}"))?;
     let prepared = tokio::select! {
         biased;
         () = signals.termination.requested() => return Ok(()),
@@ -103,82 +109,82 @@
     run_gateway(prepared, signals).await
 }
 
-/// How long requests in hand may take once nothing new is taken.
+/// How long open requests may take after `LEAVING_TIME`: as long as the longest deadline of a class, up to the limit.
 fn closing_time(settings: &Settings) -> Duration {
     let longest = settings.classes.iter().map(|class| class.deadline).fold(0.0, f64::max);
-    Duration::try_from_secs_f64(longest / 1000.0).unwrap_or(CLOSING).min(CLOSING)
+    Duration::try_from_secs_f64(longest / 1000.0).unwrap_or(MAX_CLOSING_TIME).min(MAX_CLOSING_TIME)
 }
 
-/// Hands what is heard of discovery on, and tells when the first word has been.
-async fn take_in(
+/// Passes lists from discovery to the dispatcher, and signals `first_update` after the first call, even if it failed.
+async fn forward_updates(
     mut updates: UnboundedReceiver<Update>,
     dispatcher: Rc<Dispatcher>,
-    told: oneshot::Sender<()>,
+    first_update: oneshot::Sender<()>,
 ) {
-    let mut told = Some(told);
+    let mut first_update = Some(first_update);
     while let Some(update) = updates.recv().await {
         if let Update::List(kind, list) = update {
             dispatcher.servers(kind, list);
         }
-        if let Some(told) = told.take() {
-            let _ = told.send(());
+        if let Some(first_update) = first_update.take() {
+            let _ = first_update.send(());
         }
     }
 }
 
-/// Serves until it is told to end and nothing is in hand.
+/// Serves until SIGTERM, then finishes the open requests or fails them after the closing time.
 async fn run_gateway(prepared: Prepared, signals: Signals) -> Result<(), String> {
     let Prepared { config, listener, listening_since, descriptors, discovery } = prepared;
     let Signals { hangups, mut termination } = signals;
-    let closing = closing_time(&config.settings);
-    let has_agent = !config.settings.list_on_request;
+    let closing_time = closing_time(&config.settings);
+    let has_local_agent = !config.settings.list_on_request;
     let backends = Rc::new(Backends::new(descriptors.clone(), config.connect_timeout, config.idle_timeout));
-    let (counter, line) = Counter::new(config.counter_timeout);
+    let (counter, counter_client) = Counter::new(config.counter_timeout);
     let (settings, zones) = (config.settings.clone(), config.names.zones.clone());
     let dispatcher = Dispatcher::new(settings, config.seed, zones, backends.clone(), counter)
         .map_err(|error| error.to_string())?;
-    let (counter, seen) = watch::channel(config.counter);
-    let counted = dispatcher.clone();
-    spawn_local(line.run(seen, move |report| counted.counter_reported(report)));
+    let (counter_address, current_address) = watch::channel(config.counter);
+    let reported = dispatcher.clone();
+    spawn_local(counter_client.run(current_address, move |report| reported.counter_reported(report)));
     dispatcher.servers(ListKind::Cached, config.cached_list);
     spawn_local(dispatcher.clone().keep_time());
     let Subscription { source, updates } = discovery;
-    let (told, first_word) = oneshot::channel();
-    spawn_local(take_in(updates, dispatcher.clone(), told));
+    let (first_update_sender, first_update) = oneshot::channel();
+    spawn_local(forward_updates(updates, dispatcher.clone(), first_update_sender));
     let sweeper = backends.clone();
     spawn_local(async move { sweeper.sweep().await });
 
-    let (phase, seen) = watch::channel(Phase::Serving);
+    let (phase, current_phase) = watch::channel(Phase::Serving);
     let context = Rc::new(ServeContext {
         dispatcher: dispatcher.clone(),
         backends,
         names: config.names,
         settings: config.settings,
-        phase: seen,
-        bodies: Semaphore::new((config.memory_bytes / BODIES_PART).min(Semaphore::MAX_PERMITS)),
+        phase: current_phase,
+        bodies: Semaphore::new((config.memory_bytes / BODY_MEMORY_DIVISOR).min(Semaphore::MAX_PERMITS)),
     });
-    // Until then the list held may be older than what the agent has.
-    if has_agent {
-        let _ = timeout(FIRST_WORD_PATIENCE, first_word).await;
+    // Until the first answer the cached list may be older than what the agent has.
+    if has_local_agent {
+        let _ = timeout(FIRST_UPDATE_TIMEOUT, first_update).await;
     }
     let acceptor = Acceptor::new(listener, descriptors.clone(), listening_since);
     let mut serving = spawn_local(clients::serve(acceptor, context, descriptors));
 
     spawn_local(reload::follow(hangups, move |config| {
         source.send_modify(|source| {
-            // Another place may number its revisions otherwise.
+            // Another discovery may number its revisions differently.
             *source = Source { address: config.discovery, held_revision: None, ..*source };
         });
-        counter.send_if_modified(|held| std::mem::replace(held, config.counter) != config.counter);
+        counter_address.send_if_modified(|held| std::mem::replace(held, config.counter) != config.counter);
     }));
     termination.requested().await;
     phase.send_replace(Phase::Leaving);
-    sleep(LEAVING).await;
+    sleep(LEAVING_TIME).await;
     phase.send_replace(Phase::Closing);
-    if timeout(closing.saturating_sub(LAST_WORDS), &mut serving).await.is_err() {
+    if timeout(closing_time.saturating_sub(FINAL_ANSWERS_TIME), &mut serving).await.is_err() {
         phase.send_replace(Phase::Ended);
         dispatcher.fail_all();
-        let _ = timeout(LAST_WORDS, &mut serving).await;
+        let _ = timeout(FINAL_ANSWERS_TIME, &mut serving).await;
     }
     dispatcher.report();
     Ok(())
