--- a/src/bin/brassport/signals.rs
+++ b/src/bin/brassport/signals.rs
@@ -1,7 +1,7 @@
-//! The signals that the program takes: SIGHUP, at which the configuration is read again, and SIGTERM.
+//! The signals that the process handles: SIGHUP, which reloads the configuration, and SIGTERM.
 //!
-//! Until they are taken each of them ends the process, so [`CaughtSignals::new`] is the first thing that `main` does.
-//! A SIGHUP that comes before the configuration has been read asks for nothing: the file is read afterwards.
+//! Without a handler each of them kills the process, so `main` calls [`CaughtSignals::new`] before anything that takes
+//! time. A SIGHUP that arrives before the configuration has been read needs no action: the file is read afterwards.
 
 use signal_hook::consts::signal::{SIGHUP, SIGTERM};
 use signal_hook::flag;
@@ -10,33 +10,33 @@
 use std::sync::Arc;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
-/// Signals that are noted, before there is a runtime that could wait for them.
+/// Signal handlers for the time before there is an async runtime to wait for signals.
 pub struct CaughtSignals {
     terminated: Arc<AtomicBool>,
 }
 
 impl CaughtSignals {
-    /// Takes the signals from now on.
+    /// Installs the handlers.
     ///
     /// # Errors
-    /// What the system says of it.
+    /// If the system rejects a handler.
     pub fn new() -> io::Result<CaughtSignals> {
         let terminated = Arc::new(AtomicBool::new(false));
         flag::register(SIGTERM, terminated.clone())?;
-        // That it came is of no use here; that it no longer ends the process is.
+        // The flag is not read: the handler only prevents SIGHUP from killing the process.
         flag::register(SIGHUP, Arc::default())?;
         Ok(CaughtSignals { terminated })
     }
 
-    /// Whether a SIGTERM has come.
+    /// Whether a SIGTERM has arrived.
     pub fn terminated(&self) -> bool {
         self.terminated.load(Ordering::Relaxed)
     }
 
-    /// Hands over to the runtime, which this has to be called on.
+    /// Lets the async runtime handle the signals. Has to be called on the runtime.
     ///
     /// # Errors
-    /// What the system says of it.
+    /// If the system rejects a handler.
     pub fn wait_on_runtime(self) -> io::Result<Signals> {
         let hangups = signal(SignalKind::hangup())?;
         let terminations = signal(SignalKind::terminate())?;
@@ -44,21 +44,21 @@
     }
 }
 
-/// Signals that can be waited for.
+/// The signals as async streams.
 pub struct Signals {
-    /// Tells of one or more SIGHUPs since it was last asked.
+    /// Yields once for any number of SIGHUPs since the last time.
     pub hangups: Signal,
     pub termination: Termination,
 }
 
-/// SIGTERM, which may have come before there was a runtime.
+/// SIGTERM, which may have arrived before there was a runtime.
 pub struct Termination {
     signal: Signal,
     caught: CaughtSignals,
 }
 
 impl Termination {
-    /// Waits until the program is told to end.
+    /// Waits for SIGTERM.
     pub async fn requested(&mut self) {
         if !self.caught.terminated() {
             self.signal.recv().await;
