--- a/tests/gateway_process/main.rs
+++ b/tests/gateway_process/main.rs
@@ -1,4 +1,4 @@
-//! The gateway process over loopback sockets: the built program against small scripted peers.
+//! Tests of the built gateway process against scripted peers on loopback sockets.
 
 mod backends;
 mod clients;
