--- a/tests/gateway_process/reload.rs
+++ b/tests/gateway_process/reload.rs
@@ -1,4 +1,4 @@
-//! Signals and files at a start and at a reload.
+//! Signals and configuration files at the start and at a reload.
 
 use crate::peers::*;
 use fault_soak::shim::Faults;
@@ -10,60 +10,60 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A start is held up for so long: much longer than a process needs until its `main` runs.
-const HELD_UP: Duration = Duration::from_millis(1000);
-/// Whatever is told to end at once has ended by then, also on a slow machine.
-const AT_ONCE: Duration = Duration::from_secs(5);
+/// How long a start is held back: much longer than a process needs to reach its `main`.
+const START_DELAY: Duration = Duration::from_millis(1000);
+/// A process that has to exit at once has exited by then, also on a slow machine.
+const EXIT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Puts a named pipe in the place of a file: opening it to read takes until somebody opens it to write.
+/// Replaces a file by a named pipe: opening it for reading blocks until it is opened for writing.
 fn replace_by_pipe(file: &Path) {
     std::fs::remove_file(file).expect("the file is there");
     assert!(Command::new("mkfifo").arg(file).status().expect("mkfifo runs").success());
 }
 
-fn half(config: &Value) -> String {
+fn first_half(config: &Value) -> String {
     let text = config.to_string();
     text[..text.len() / 2].to_string()
 }
 
-// Signals were taken only once the configuration had been read, which a start tries for up to 20 s: until then a
-// SIGHUP, which says no more than that there is a newer file, ended the process (`signal: 1 (SIGHUP)`).
+// A start retries reading the configuration for up to 20 s. If the signal handlers are installed only after that, a
+// SIGHUP, which only says that there is a newer file, kills the process (`signal: 1 (SIGHUP)`).
 #[test]
-fn a_start_that_cannot_read_its_file_yet_bears_signals_in_series() {
+fn several_sighups_do_not_end_a_start_that_cannot_read_its_file_yet() {
     let backend = Peer::start();
     let config = config(closed_port(), list(&[target("s-00000001", backend.address, "ready")]));
     let faulty = FaultInjection::new();
     faulty.control.set(Faults { open_fails: 1.0, ..Faults::default() });
     let file = write_config(&config);
     let child = faulty.spawn(&file, &config);
-    thread::sleep(HELD_UP);
+    thread::sleep(START_DELAY);
     for _ in 0..5 {
         signal(&child, "-HUP");
     }
     faulty.control.set(Faults::default());
-    let front = GatewayProcess::listening(child, &config, file);
-    front.serves_from(&backend);
+    let gateway = GatewayProcess::listening(child, &config, file);
+    gateway.serves_from(&backend);
 }
 
-// The same with SIGTERM (`signal: 15 (SIGTERM)`): an end that was asked for is none with an error.
+// The same for SIGTERM (`signal: 15 (SIGTERM)`): an exit on request is not a failure.
 #[test]
-fn a_start_that_is_told_to_end_ends_at_once_and_in_order() {
+fn sigterm_ends_a_start_that_cannot_read_its_file_yet_at_once_with_exit_code_0() {
     for signals in [&["-TERM"][..], &["-HUP", "-TERM", "-HUP", "-TERM"]] {
         let config = config(closed_port(), list(&[]));
         let faulty = FaultInjection::new();
         faulty.control.set(Faults { open_fails: 1.0, ..Faults::default() });
         let mut child = faulty.spawn(&write_config(&config), &config);
-        thread::sleep(HELD_UP);
+        thread::sleep(START_DELAY);
         for name in signals {
             signal(&child, name);
         }
-        let status = wait_for_exit(&mut child, AT_ONCE).expect("it ends at once");
+        let status = wait_for_exit(&mut child, EXIT_TIMEOUT).expect("it exits at once");
         assert!(status.success(), "{signals:?}: {status}");
     }
 }
 
-/// Whether a process takes SIGHUP, the last of the signals that `main` takes first of all.
-fn takes_signals(child: &Child) -> bool {
+/// Whether a process handles SIGHUP, the last of the signals for which `main` installs handlers.
+fn handles_signals(child: &Child) -> bool {
     const SIGHUP_BIT: u64 = 1;
     let status = std::fs::read_to_string(format!("/proc/{}/status", child.id())).expect("it is there");
     let caught = status.lines().find_map(|line| line.strip_prefix("SigCgt:")).expect("the line is there");
@@ -71,147 +71,147 @@
 }
 
 #[test]
-fn signals_in_any_order_at_any_moment_of_a_start_end_it_in_order() {
-    let moments = (0..12).map(|moment| Duration::from_micros(400 * moment));
-    let ending: Vec<(Duration, Child)> = moments
-        .map(|moment| {
+fn signals_in_any_order_at_any_moment_of_a_start_end_it_with_exit_code_0() {
+    let delays = (0..12).map(|n| Duration::from_micros(400 * n));
+    let children: Vec<(Duration, Child)> = delays
+        .map(|delay| {
             let config = config(closed_port(), list(&[target("s-00000001", closed_port(), "ready")]));
             let child = spawn(&write_config(&config), &config, Stdio::inherit());
             let until = Instant::now() + TEST_TIMEOUT;
-            while !takes_signals(&child) {
-                assert!(Instant::now() < until, "it takes no signals");
+            while !handles_signals(&child) {
+                assert!(Instant::now() < until, "it installs no signal handlers");
                 thread::sleep(Duration::from_micros(100));
             }
-            thread::sleep(moment);
+            thread::sleep(delay);
             for name in ["-HUP", "-TERM", "-HUP", "-TERM"] {
                 signal(&child, name);
             }
-            (moment, child)
+            (delay, child)
         })
         .collect();
-    for (moment, mut child) in ending {
-        let status = wait_for_exit(&mut child, AT_ONCE).expect("it ends");
-        assert!(status.success(), "{moment:?} behind the moment at which it takes signals: {status}");
+    for (delay, mut child) in children {
+        let status = wait_for_exit(&mut child, EXIT_TIMEOUT).expect("it exits");
+        assert!(status.success(), "{delay:?} after the handlers were installed: {status}");
     }
 }
 
 #[test]
-fn a_file_that_is_newer_than_the_one_read_at_the_start_is_taken() {
+fn a_file_replaced_after_it_was_read_at_the_start_is_applied() {
     let (first, second) = (Peer::start(), Peer::start());
     let mut config = config(first.address, list(&[]));
     let faulty = FaultInjection::new();
-    // The file is read and the port can't be had yet.
+    // The file has been read, and the port cannot be bound yet.
     faulty.control.set(Faults { socket_fails: 1.0, ..Faults::default() });
     let file = write_config(&config);
     let child = faulty.spawn(&file, &config);
-    thread::sleep(HELD_UP);
+    thread::sleep(START_DELAY);
     config["discovery"] = json!(second.address.to_string());
     std::fs::write(&file, config.to_string()).expect("the file is replaced");
     signal(&child, "-HUP");
     faulty.control.set(Faults::default());
-    let _front = GatewayProcess::listening(child, &config, file);
+    let _gateway = GatewayProcess::listening(child, &config, file);
     second.next();
 }
 
-// A file that is rewritten in place is cut short for a moment. At the signal it was read once and the new addresses
-// were dropped for good: `not reloaded: configuration: EOF while parsing ...`, and 6 s later the gateway still asked
-// the old discovery, though a change counts as told 4 s after the signal.
+// A file that is rewritten in place is truncated for a moment. If it is read only once at the signal, the new addresses
+// are lost: `not reloaded: configuration: EOF while parsing ...`, and 6 s later the gateway still called the old
+// discovery, though it counts as notified of a change 4 s after the signal.
 #[test]
-fn a_new_configuration_that_is_half_written_at_the_signal_is_taken_once_it_is_whole() {
-    for cut in [half, |_: &Value| String::new()] {
+fn a_file_that_is_truncated_at_the_signal_is_applied_once_it_is_complete() {
+    for cut in [first_half, |_: &Value| String::new()] {
         let (backend, first, second) = (Peer::start(), Peer::start(), Peer::start());
         let mut config = config(first.address, list(&[target("s-00000001", backend.address, "ready")]));
-        let front = GatewayProcess::start(&config);
+        let gateway = GatewayProcess::start(&config);
         let _call = first.next();
         config["discovery"] = json!(second.address.to_string());
-        std::fs::write(&front.file, cut(&config)).expect("a part is written");
-        front.signal("-HUP");
+        std::fs::write(&gateway.file, cut(&config)).expect("a part is written");
+        gateway.signal("-HUP");
         thread::sleep(Duration::from_millis(300));
-        // What was in force stays so.
-        front.serves_from(&backend);
-        std::fs::write(&front.file, config.to_string()).expect("the rest is written");
+        // The previous configuration stays valid.
+        gateway.serves_from(&backend);
+        std::fs::write(&gateway.file, config.to_string()).expect("the rest is written");
         second.next();
     }
 }
 
 #[test]
-fn a_configuration_that_makes_no_sense_is_told_once_and_changes_nothing() {
+fn an_invalid_configuration_is_logged_once_and_not_applied() {
     let (backend, first, second) = (Peer::start(), Peer::start(), Peer::start());
     let mut config = config(first.address, list(&[target("s-00000001", backend.address, "ready")]));
     let (log, writer) = UnixStream::pair().expect("a pair");
-    let front = GatewayProcess::start_with(&config, Stdio::from(OwnedFd::from(writer)));
+    let gateway = GatewayProcess::start_with(&config, Stdio::from(OwnedFd::from(writer)));
     let _call = first.next();
     config["discovery"] = json!(second.address.to_string());
     config["settings"]["plans"][0]["unitsPerS"] = json!(-1.0);
-    std::fs::write(&front.file, config.to_string()).expect("the file is replaced");
-    front.signal("-HUP");
+    std::fs::write(&gateway.file, config.to_string()).expect("the file is replaced");
+    gateway.signal("-HUP");
     thread::sleep(Duration::from_millis(700));
-    assert!(second.exchanges.try_recv().is_err(), "a configuration that makes no sense is in force");
-    drop(front);
-    let said = std::io::read_to_string(log).expect("text");
-    let told = "brassport: not reloaded: setting plans[0].rate: must be a finite number, not below 0\n";
-    assert_eq!(said.matches("not reloaded").count(), 1, "{said}");
-    assert!(said.contains(told), "{said}");
+    assert!(second.exchanges.try_recv().is_err(), "an invalid configuration was applied");
+    drop(gateway);
+    let log = std::io::read_to_string(log).expect("text");
+    let expected = "brassport: not reloaded: setting plans[0].rate: must be a finite number, not below 0\n";
+    assert_eq!(log.matches("not reloaded").count(), 1, "{log}");
+    assert!(log.contains(expected), "{log}");
 }
 
-// At the start the same file ended the process at once, with exit code 1, where one that fails with EIO is tried for
-// 20 s.
+// A start retries a truncated file for 20 s, as it does one that fails with EIO. Otherwise it exits at once with code 1.
 #[test]
-fn a_start_bears_a_file_that_is_still_being_written() {
-    for cut in [half, |_: &Value| String::new()] {
+fn a_start_waits_for_a_file_that_is_still_being_written() {
+    for cut in [first_half, |_: &Value| String::new()] {
         let backend = Peer::start();
         let config = config(closed_port(), list(&[target("s-00000001", backend.address, "ready")]));
         let file = write_config(&config);
         std::fs::write(&file, cut(&config)).expect("a part is written");
         let mut child = spawn(&file, &config, Stdio::inherit());
-        thread::sleep(HELD_UP);
-        assert_eq!(child.try_wait().expect("the process is there"), None, "it has ended");
+        thread::sleep(START_DELAY);
+        assert_eq!(child.try_wait().expect("the process is there"), None, "it has exited");
         std::fs::write(&file, config.to_string()).expect("the rest is written");
-        let front = GatewayProcess::listening(child, &config, file);
-        front.serves_from(&backend);
+        let gateway = GatewayProcess::listening(child, &config, file);
+        gateway.serves_from(&backend);
     }
 }
 
-// The file was read on the thread that serves: a folder that hangs stopped all service, and the end.
+// If the file is read on the thread that serves, a file system that hangs stops all service, and the shutdown.
 #[test]
-fn a_file_that_takes_for_ever_to_open_holds_up_neither_service_nor_the_end() {
+fn a_file_whose_open_never_returns_blocks_neither_service_nor_shutdown() {
     let backend = Peer::start();
     let config = config(closed_port(), list(&[target("s-00000001", backend.address, "ready")]));
-    let mut front = GatewayProcess::start(&config);
-    replace_by_pipe(&front.file);
-    front.signal("-HUP");
+    let mut gateway = GatewayProcess::start(&config);
+    replace_by_pipe(&gateway.file);
+    gateway.signal("-HUP");
     thread::sleep(Duration::from_millis(300));
-    let mut client = front.client();
+    let mut client = gateway.client();
     client.send(&get(""));
     backend.next().ok("served");
     assert_eq!(client.read().status(), 200);
-    front.terminate();
+    gateway.terminate();
     drop(client);
-    assert!(wait_for_exit(&mut front.child, AT_ONCE).expect("it ends").success());
+    assert!(wait_for_exit(&mut gateway.child, EXIT_TIMEOUT).expect("it exits").success());
 }
 
 #[test]
-fn a_start_whose_file_takes_for_ever_to_open_can_be_told_to_end() {
+fn sigterm_ends_a_start_whose_file_never_opens() {
     let config = config(closed_port(), list(&[]));
     let file = write_config(&config);
     replace_by_pipe(&file);
     let mut child = spawn(&file, &config, Stdio::inherit());
-    thread::sleep(HELD_UP);
+    thread::sleep(START_DELAY);
     signal(&child, "-TERM");
-    let status = wait_for_exit(&mut child, AT_ONCE).expect("it ends at once");
+    let status = wait_for_exit(&mut child, EXIT_TIMEOUT).expect("it exits at once");
     assert!(status.success(), "{status}");
 }
 
-// Two readings at a time would take the file from each other.
+// The first reading is slow, and discovery is called before it ends. A second reading at the same time would take part
+// of the pipe's content from the first.
 #[test]
-fn a_start_whose_file_takes_half_a_second_to_open_serves_by_it() {
+fn a_start_whose_file_takes_half_a_second_to_open_serves_by_that_file() {
     let (backend, agent) = (Peer::start(), Peer::start());
     let known = list(&[target("s-00000001", backend.address, "ready")]);
     let config = config(agent.address, list(&[]));
     let file = write_config(&config);
     replace_by_pipe(&file);
     let starting = StartingGateway::spawn(&file, &config);
-    assert_eq!(agent.next().request.line, "GET /v1/servers HTTP/1.1", "asked meanwhile");
+    assert_eq!(agent.next().request.line, "GET /v1/servers HTTP/1.1", "discovery is called meanwhile");
     thread::sleep(Duration::from_millis(500));
     std::fs::write(&file, config.to_string()).expect("the pipe is read");
     thread::spawn(move || {
@@ -222,19 +222,20 @@
     starting.listening(&config, file).serves_from(&backend);
 }
 
-// The file was replaced while the gateway could not read it, and no signal told of it, as the gateway was not ready. It
-// asked the discovery of its environment from then on, which had moved (soak, seed 9308: sends to draining servers).
+// The file is replaced while the gateway cannot read it, and no signal follows, as the gateway is not ready. If the
+// environment took precedence, the gateway would call a discovery that has moved (soak, seed 9308: sends to draining
+// servers).
 #[test]
-fn a_file_that_can_be_read_only_later_goes_before_the_environment() {
+fn a_file_that_becomes_readable_late_takes_precedence_over_the_environment() {
     let (backend, old, new) = (Peer::start(), Peer::start(), Peer::start());
     let known = list(&[target("s-00000001", backend.address, "ready")]);
     let mut config = config(old.address, known.clone());
     let file = write_config(&config);
-    std::fs::write(&file, &config.to_string()[..99]).expect("the file is cut short");
+    std::fs::write(&file, &config.to_string()[..99]).expect("the file is truncated");
     let starting = StartingGateway::spawn(&file, &config);
-    assert_eq!(old.next().request.line, "GET /v1/servers HTTP/1.1", "asked meanwhile");
+    assert_eq!(old.next().request.line, "GET /v1/servers HTTP/1.1", "discovery is called meanwhile");
     config["discovery"] = json!(new.address.to_string());
-    std::fs::write(&file, config.to_string()).expect("the file is whole");
+    std::fs::write(&file, config.to_string()).expect("the file is completed");
     let call = new.next();
     assert_eq!(call.request.line, "GET /v1/servers HTTP/1.1");
     call.ok(&known.to_string());
