--- a/src/bin/brassport/discovery/schedule.rs
+++ b/src/bin/brassport/discovery/schedule.rs
@@ -4,10 +4,12 @@
 use oorandom::Rand32;
 use std::time::Duration;
 
-/// How long discovery may hold a watch open when it has no changes, and the time-out of an answer beyond that. Where
-/// there is a local agent, both are upper limits. Longer ones detect an unresponsive discovery later, shorter ones make
-/// more calls.
+/// How long discovery may hold a watch open when it has no changes. With a local agent it is only the upper limit of that,
+/// and of the other time-outs and pauses. A longer wait detects an unresponsive discovery later, a shorter one makes more
+/// calls.
 const MAX_WATCH_WAIT: Duration = Duration::from_millis(1000);
+/// The time-out of an answer of a shared service, for a watch beyond its wait, without what each gateway adds to it. A
+/// longer one detects an unresponsive service later, a shorter one gives up calls that would have been answered.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1000);
 /// A gateway counts as notified of every change that its local agent has, whether or not the change arrived here. An
 /// agent that was unresponsive never answers a call that it received then, even if it is back a moment later. So each
@@ -22,21 +24,23 @@
 const AGENT_UNCONFIRMED_FRACTION: f64 = 0.75;
 /// Lower limit of the drain grace for time-outs and pauses: with a shorter one, calls would keep the gateway busy.
 const MIN_DRAIN_GRACE: Duration = Duration::from_millis(250);
-/// Upper limits of the first and of every pause after a failed call to a shared service, for each gateway; the limit
-/// doubles from the first to the second. Gateways that fail together would call again together, and a queue that is
-/// too long for the service's capacity gets no gateway an answer in time.
+/// With a shared service the pause after a failed call is random. Its upper limit is the first of these times the number
+/// of gateways, and doubles with each further failure up to the second. Gateways that fail together would otherwise call
+/// again together, and with a queue beyond the service's capacity none of them gets an answer in time.
 const FIRST_BACKOFF_PER_GATEWAY: Duration = Duration::from_millis(20);
 const MAX_BACKOFF_PER_GATEWAY: Duration = Duration::from_millis(100);
 /// What each gateway adds to the time-out of an answer of a shared service: the service goes on working on a call that
 /// timed out, so the retry only makes its queue longer.
 const ANSWER_TIMEOUT_PER_GATEWAY: Duration = Duration::from_millis(30);
-/// With a shared service a gateway counts as notified of a change 6 s after discovery had it and could be reached,
-/// whatever became of the call that was open then. For any number of gateways, the duration of that call, the pause
-/// after it and the wait for the next answer together must stay below this.
+/// With a shared service a gateway counts as notified of a change 6 s after discovery had it and could be reached, even
+/// if the call that was open then fails. This and the next two limits keep the duration of that call, the pause after it
+/// and the wait for the next answer together below 6 s for any number of gateways.
+/// This one limits the time-out of an answer, however many gateways add to it.
 const MAX_ANSWER_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Limit on the duration of a failed call together with the pause after it.
 const MAX_CALL_AND_BACKOFF: Duration = Duration::from_millis(3300);
-/// Limit on the pause after a call that took so long that less than this is left of `MAX_CALL_AND_BACKOFF`.
+/// Limit on the pause after a call that took so long that less than this is left of `MAX_CALL_AND_BACKOFF`. Without it
+/// gateways whose calls time out would call again at once, and together.
 const BACKOFF_LIMIT_AFTER_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Which kind of service answers the calls.
--- a/src/bin/brassport/discovery/watch.rs
+++ b/src/bin/brassport/discovery/watch.rs
@@ -16,8 +16,8 @@
 use tokio::sync::watch::Receiver;
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-/// Minimum time from the start of a watch to the start of the next one, so that an agent that answers every call at
-/// once does not keep the gateway busy.
+/// Minimum time from the start of a watch to the start of the next one, and the pause after a call that this machine could
+/// not start. A shorter one lets an agent that answers every call at once keep the gateway busy.
 const MIN_WATCH_INTERVAL: Duration = Duration::from_millis(20);
 /// Time from the start of a watch to the call that confirms it. The agent has to have received the watch by then.
 const CONFIRMATION_DELAY: Duration = Duration::from_millis(5);
