--- a/src/bin/brassport/startup.rs
+++ b/src/bin/brassport/startup.rs
@@ -17,7 +17,8 @@
 const RESERVED_DESCRIPTORS: usize = 32;
 /// How long the start retries operations that fail temporarily. The gateway has to be ready within 30 s of its start.
 pub const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// How long the first reading of the configuration may take before discovery is called in parallel.
+/// How long the first reading of the configuration may take before discovery is called in parallel, and before the file
+/// takes precedence over the environment.
 const FIRST_READ_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// What a gateway needs to begin serving.
@@ -54,8 +55,8 @@
     let is_late = || started.elapsed() >= FIRST_READ_TIMEOUT;
     let mut first_reading =
         pin!(config::read(|| if is_late() { Precedence::File } else { Precedence::Environment }));
-    let first = timeout(FIRST_READ_TIMEOUT, &mut first_reading).await.ok();
-    match first {
+    let first_result = timeout(FIRST_READ_TIMEOUT, &mut first_reading).await.ok();
+    match first_result {
         Some(Ok(config)) => {
             let discovery = discovery::follow(source(&config));
             return Ok((config, discovery));
@@ -63,12 +64,12 @@
         Some(Err(error)) if !error.is_transient() => return Err(error),
         Some(Err(_)) | None => {}
     }
-    let early = config::discovery_in_environment().map(|address| {
+    let early_discovery = config::discovery_in_environment().map(|address| {
         let seed = u64::from(std::process::id());
         discovery::follow(Source { address, service: Service::Unknown, held_revision: None, seed })
     });
     // A reading that hangs is continued, not restarted: if the file is a pipe, two readings would split its content.
-    let config = match first {
+    let config = match first_result {
         None => timeout(START_TIMEOUT, first_reading).await.unwrap_or_else(|_| Err(ConfigError::timed_out())),
         Some(failure) => failure,
     };
@@ -78,7 +79,7 @@
         Err(error) if error.is_transient() => config::read_within(time_left, Precedence::File).await?,
         config => config?,
     };
-    let discovery = match early {
+    let discovery = match early_discovery {
         Some(discovery) => {
             discovery.source.send_replace(source(&config));
             discovery
