--- a/src/bin/brassport/discovery/schedule.rs
+++ b/src/bin/brassport/discovery/schedule.rs
@@ -200,6 +200,7 @@
         }
     }
 
+    // Well before a change counts as notified, which is 6 s after discovery had it.
     #[test]
     fn a_shared_watch_that_timed_out_is_reopened_within_4_s() {
         for gateways in [3, 100, 300] {
