--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -1,7 +1,9 @@
-//! All decisions. The types, events and actions that this module speaks in are in `src/interface.rs`.
+//! The decisions of one gateway: admission, attempts, retries and limits. The types of its events and
+//! actions are in `src/interface.rs`.
 //!
-//! Admission follows the paper's random refusal: each gateway refuses a customer's requests with chance
-//! 1 - quota / offered, the offered rate of all from the meter, the class of the lowest worth first.
+//! Admission is distributed rate limiting by random drop: each gateway refuses a customer's requests with
+//! probability 1 - quota / offered rate, the class of the lowest worth first. The rate offered to all
+//! gateways together is estimated from the meter's readings.
 
 use crate::counter_limits::{CounterLimits, LimitAnswer};
 use crate::fleet::{Fleet, FleetClock, HEDGE_AFTER};
@@ -10,100 +12,154 @@
 use oorandom::Rand64;
 use std::collections::{BTreeMap, VecDeque};
 
-// ---- Constants. All are dimensionless; times and rates come from the settings. ----
-
-/// Lowest chance of admission: at nought no answer would bring a reading.
-const CHANCE_FLOOR: f64 = 0.01;
-/// Meter periods over which a store that is left over is let out.
-const RELEASE: f64 = 6.0;
-/// Units that each other gateway sends unseen in a surge, for one beyond an even share here, a late period.
-const SURGE: f64 = 0.8;
-/// Part of its burst that a customer is taken to have left when it first comes here: most have used little.
-const START_STORE: f64 = 0.75;
-/// Part of a meter period, on average, after which one whom the coin refused ought to try again.
-const COME_BACK: f64 = 0.3;
-/// Units over which a rate is averaged: fewer counts say little about a rate.
-const RATE_UNITS: f64 = 4.0;
-/// Units that what is known of a plan counts for beside the readings of one of its customers.
-const PRIOR_UNITS: f64 = 0.5;
-/// Part of its quota that a customer is taken to ask for until readings tell of its plan.
-const CALM_USE: f64 = 0.5;
-/// Other gateways that share a customer at which half of its traffic is as good as unseen.
-const OTHERS: f64 = 10.0;
-/// What a send beyond the quota costs, times this, is what the quota is undercut by in the dark.
-const CAUTION: f64 = 0.5;
-/// Part of its chance that a further try loses there: a fresh coin for each lets the persistent in.
-const AGAIN: f64 = 0.7;
-/// Requests by which one time left has to lead the others to be that of first tries.
-const MAJORITY: u32 = 8;
-/// Part that all classes bear alike there: the low would pay for what customers of others go beyond.
-const EVEN: f64 = 0.1;
-/// Own evidence fades over so many units of an even share of the quota.
-const OWN_UNITS: f64 = 2.0;
-/// Weight of a new gap between readings in their mean.
-const LEARN: f64 = 0.3;
-/// A customer idle for so many times its burst's filling time is forgotten.
-const IDLE_FILLS: f64 = 20.0;
-/// Weight of a new sample in averages over requests and answers: about the last 20 of them.
-const SAMPLE: f64 = 0.1;
-/// Room of a new gateway: slow start, as hundreds may be born at once and none knows of the others.
-const START_ROOM: f64 = 0.5;
-/// Most that one answer counts for, in wanted times.
-const MOST_WEIGHT: f64 = 0.2;
-/// Least room: retries may come at a hundred times what the servers can do.
-const LEAST_ROOM: f64 = 0.01;
-/// An answer that took more than this part of the wanted time, or is out for longer, is late: work queues.
-const LATE: f64 = 0.35;
-/// Part of the room that a wanted time full of late answers takes away ...
-const CUT: f64 = 0.7;
-/// ... and that one of timely answers gives, with `PROBE` more: one late answer in three is borne.
-const GROWTH: f64 = 0.3;
-const PROBE: f64 = 0.1;
-/// Attempts a server, of all gateways, that make no queue: up to an own part of that the room is not asked,
-/// for idle servers tell nothing and a door once shut would stay shut.
-const IDLE: f64 = 3.0;
-/// Shrinks the limit on work in flight at each late answer; a timely one grows it by `STEP` attempts, twice
-/// that at a limit of `STEP_DOUBLES_AT`: a fair share for each gateway while it is small, one late in five at
-/// any size.
-const SHRINK: f64 = 0.95;
-const STEP: f64 = 0.05;
-const STEP_DOUBLES_AT: f64 = 5.0;
-/// Further attempts for each first one: the retry budget.
-const RETRY_SHARE: f64 = 0.15;
-/// What one costs that starts while another may be at work, which it adds to, in those that replace one.
-const COPY_COST: f64 = 10.0;
-/// The part of the wanted time within which a further attempt or a held request must start to be of use.
-const USEFUL: f64 = 0.5;
-
-const DEADLINE: u64 = 0;
-const REVIEW: u64 = 1;
-const LIST: u64 = 2;
-const RETURNS: u64 = 3;
+// ---- Constants. None is a time or a rate: those come from the settings. ----
+
+/// Least probability with which a quota admits a request. At 0 a refused customer would get no responses, and
+/// only responses carry meter readings; a higher value sends more requests beyond the quota.
+const MIN_ADMISSION_CHANCE: f64 = 0.01;
+/// Meter periods over which the content of a customer's token bucket is released. With fewer, the bucket is
+/// empty before the random refusal, which goes by worth, sets in; with more, customers can't use their burst
+/// when they need it.
+const BURST_RELEASE_PERIODS: f64 = 6.0;
+/// In a surge, units that each other gateway is assumed to have sent unseen, for each unit sent here beyond
+/// an even share of the quota and each period of the meter's delay. A lower value lets surges through many
+/// gateways exceed the quota; a higher one refuses surges that come through this gateway alone.
+const UNSEEN_SURGE_FACTOR: f64 = 0.8;
+/// Fraction of its burst that a customer's bucket is assumed to hold at its first request here: most
+/// customers have used little. A higher value lets the others exceed the quota; a lower one refuses customers
+/// that have burst left.
+const INITIAL_BUCKET_FILL: f64 = 0.75;
+/// Mean `retry_after` of a quota refusal, in meter periods. If shorter, clients retry before the admission
+/// chance has changed; if longer, they can retry less often within their deadline.
+const QUOTA_RETRY_AFTER_PERIODS: f64 = 0.3;
+/// Window for averaging a rate, in units of the quota (in readings, where they come less often). A shorter
+/// one has too few counts to say much about a rate; a longer one follows changes late.
+const RATE_WINDOW_UNITS: f64 = 4.0;
+/// Weight of the plan's average use in the estimate for one customer, in units of its quota that readings
+/// cover. If lower, the first few readings decide alone; if higher, the average outweighs a customer's own
+/// readings.
+const PLAN_PRIOR_UNITS: f64 = 0.5;
+/// Fraction of its quota that a customer is assumed to use and to offer until there are readings for its
+/// plan. A higher value refuses customers within their quota; a lower one lets heavy customers exceed it.
+const INITIAL_QUOTA_USE: f64 = 0.5;
+/// Number of other gateways receiving a customer's requests at which half of its traffic counts as unseen
+/// here. A lower value leaves quota unused; a higher one lets customers of many gateways exceed the quota.
+const HALF_UNSEEN_GATEWAYS: f64 = 10.0;
+/// How far the targeted rate stays below the quota, as a factor on the plan's `excess_cost` and the unseen
+/// fraction of the traffic. A higher value leaves quota unused; a lower one sends more beyond it, at that
+/// cost.
+const EXCESS_CAUTION: f64 = 0.5;
+/// Fraction of the admission chance that a client's retry loses where all traffic is unseen. Each retry is
+/// drawn anew, so a lower value admits persistent clients beyond the quota; a higher one refuses retries
+/// within it.
+const RETRY_CHANCE_CUT: f64 = 0.7;
+/// Number of requests by which one time limit must lead the others of its class to count as that of first
+/// requests. A lower value lets a few odd requests make first requests look like retries; a higher one
+/// recognises unmarked retries later.
+const MIN_MAJORITY_LEAD: u32 = 8;
+/// Fraction of the quota refusals that is spread evenly over the classes where all traffic is unseen. If
+/// lower, requests of low worth pay for the excess of customers that send other classes; if higher, more
+/// requests of high worth are refused.
+const EVEN_REFUSAL_FRACTION: f64 = 0.1;
+/// Time over which this gateway's own observations of a customer fade to 1/e, in units of an even share of
+/// the quota. If shorter, too few requests count for an estimate; if longer, it follows changes late.
+const LOCAL_MEMORY_UNITS: f64 = 2.0;
+/// Weight of a new gap between readings in their moving average, from 0 to 1. A higher value overrates single
+/// gaps; a lower one follows changes late.
+const READING_GAP_WEIGHT: f64 = 0.3;
+/// Idle time after which a customer is forgotten, in multiples of the time that its slowest token bucket
+/// takes to fill. If shorter, learned rates and buckets that are still filling get lost; if longer, customers
+/// that have left take up memory.
+const IDLE_FILL_TIMES: f64 = 20.0;
+/// Weight of a new sample in moving averages over requests and responses, from 0 to 1: about the last 20
+/// samples count. A higher value overrates single samples; a lower one follows changes late.
+const SAMPLE_WEIGHT: f64 = 0.1;
+/// Capacity share of a new gateway, from 0 to 1, as a slow start: hundreds may start at once, unaware of each
+/// other. A higher value lets them overload the servers; a lower one refuses requests that the servers had
+/// capacity for.
+const INITIAL_CAPACITY_SHARE: f64 = 0.5;
+/// Longest time for which one response may adapt the capacity share, in latency targets. If longer, one
+/// response after a pause changes the share too much; if shorter, a gateway with little traffic adapts too
+/// slowly.
+const MAX_RESPONSE_WEIGHT: f64 = 0.2;
+/// Least capacity share. Retries may come at a hundred times what the servers can do, and a higher value lets
+/// them keep the servers overloaded; at 0 nothing would be admitted whose response could raise the share
+/// again.
+const MIN_CAPACITY_SHARE: f64 = 0.01;
+/// Fraction of the latency target after which a response, or an attempt still in flight, is late: requests
+/// queue at the servers. A higher value detects queues too late; a lower one takes ordinary responses for
+/// overload.
+const LATE_FRACTION: f64 = 0.35;
+/// Fraction of the capacity share that late responses remove per latency target of time. Together with
+/// `CAPACITY_GROWTH`, one late response in three is tolerated; a higher value tolerates fewer, a lower one
+/// more.
+const CAPACITY_CUT: f64 = 0.7;
+/// Growth of the capacity share by timely responses per latency target of time, as a fraction of the share
+/// plus `CAPACITY_GROWTH_BASE`. A higher value tolerates more late responses than one in three; a lower one
+/// recovers slowly.
+const CAPACITY_GROWTH: f64 = 0.3;
+/// Capacity share that is added to the current one when its growth is computed. A lower value makes recovery
+/// from a small share slow; a higher one raises load faster than late responses can show it.
+const CAPACITY_GROWTH_BASE: f64 = 0.1;
+/// Attempts in flight per server, from all gateways together, that cause no queue. Up to its part of them a
+/// gateway ignores the capacity share: idle servers give no responses that could raise a share once it is
+/// low. A lower value leaves servers idle; a higher one lets all gateways together fill the queues.
+const QUEUE_FREE_PER_SERVER: f64 = 3.0;
+/// Factor on the in-flight limit at each late response. Together with `LIMIT_STEP`, about one late response
+/// in five is tolerated at any limit; a lower factor tolerates fewer, a higher one more.
+const LIMIT_SHRINK: f64 = 0.95;
+/// Attempts by which a timely response raises a small in-flight limit: a constant step gives every gateway a
+/// fair share. A higher value tolerates more late responses than one in five; a lower one recovers slowly.
+const LIMIT_STEP: f64 = 0.05;
+/// In-flight limit, in attempts, at which the step has grown to twice `LIMIT_STEP`. A higher value makes
+/// large limits tolerate fewer late responses than one in five; a lower one makes the shares of the gateways
+/// less fair.
+const LIMIT_STEP_DOUBLES_AT: f64 = 5.0;
+/// Further attempts that each first attempt adds to the retry budget. A higher value lets retries multiply an
+/// overload; a lower one leaves failed attempts without a retry.
+const RETRY_BUDGET_PER_REQUEST: f64 = 0.15;
+/// Cost of a hedged attempt in the retry budget, in attempts that replace one that has ended: a hedged
+/// attempt adds to the work of another that may still run. A lower value adds load while servers are slow; a
+/// higher one allows fewer hedged attempts.
+const HEDGE_COST: f64 = 10.0;
+/// Fraction of the latency target within which a hedged attempt or a queued request must start to be of use.
+/// If higher, they start too late to meet the target; if lower, requests are hedged or refused too early.
+const USEFUL_START_FRACTION: f64 = 0.5;
+
+// Kinds of timer, in the low two bits of a timer's token. The other bits hold the request's identifier.
+const TIMER_DEADLINE: u64 = 0;
+const TIMER_OVERDUE: u64 = 1;
+const TIMER_LIST_RETRY: u64 = 2;
+const TIMER_COUNTER_RETURNS: u64 = 3;
 
 #[derive(Debug)]
 struct Attempt {
-    to: ServerEntry,
-    sent: Millis,
-    out: bool,
+    server: ServerEntry,
+    sent_at: Millis,
+    in_flight: bool,
     may_have_run: bool,
 }
 
+/// A request that awaits its final answer, or that still has attempts in flight.
 #[derive(Debug)]
-struct Open {
+struct TrackedRequest {
     request: Request,
-    arrived: Millis,
+    /// When the request arrived or, for a client's retry, about when the client's first one did.
+    arrived_at: Millis,
     attempts: Vec<Attempt>,
-    held: bool,
-    done: bool,
+    /// Whether it waits in its customer's queue for an attempt to end.
+    queued: bool,
+    /// Whether it needs no answer any more: it is answered, or its client has disconnected.
+    closed: bool,
 }
 
-impl Open {
-    /// Until when a further attempt may begin, as far as what it might repeat goes.
+impl TrackedRequest {
+    /// Until when idempotency allows a further attempt: infinite if no attempt may have run.
     fn may_repeat_until(&self, idempotency: Idempotency) -> Millis {
         match (idempotency, self.attempts.iter().find(|attempt| attempt.may_have_run)) {
             (_, None) | (Idempotency::Idempotent, _) => f64::INFINITY,
             (Idempotency::NonIdempotent, Some(_)) => f64::NEG_INFINITY,
-            (Idempotency::Keyed { window, .. }, Some(first)) => first.sent + window,
+            (Idempotency::Keyed { window, .. }, Some(first)) => first.sent_at + window,
         }
     }
 }
@@ -111,31 +167,41 @@
 #[derive(Debug, Default)]
 struct Customer {
     plan: usize,
+    /// Number of gateways that may receive its requests, with this one.
     spread: f64,
-    seen: Millis,
-    /// Content of the global token bucket at `told`: up to there what the meter has told is settled.
-    store: f64,
-    told: Millis,
-    chance: f64,
-    chance_set: Millis,
-    chances: VecDeque<(Millis, f64)>,
-    sends: VecDeque<(Millis, f64)>,
-    offered_here: f64,
-    heard: f64,
-    heard_at: Millis,
-    /// Of the other gateways, fading: seconds that readings covered, units sent and offered in them.
-    watched: f64,
-    sent_elsewhere: f64,
-    offered_elsewhere: f64,
-    reading_at: Option<Millis>,
-    read: Millis,
-    /// Usual time between readings, seconds.
-    reading_gap: f64,
-    /// This gateway's share of the ceiling's store.
-    ceiling: f64,
-    ceiling_at: Millis,
-    open: u32,
-    held: VecDeque<RequestId>,
+    last_request_at: Millis,
+    /// Estimated content in units, at `bucket_at`, of the quota's token bucket over all gateways. Later sends
+    /// are not taken off yet.
+    bucket: f64,
+    bucket_at: Millis,
+    /// Fraction of its requests that the quota lets in, and when it was set.
+    admission_chance: f64,
+    chance_set_at: Millis,
+    /// Values of `admission_chance` in the time that a reading may still cover, and when each was set.
+    chance_history: VecDeque<(Millis, f64)>,
+    /// Time and units of each first attempt that a reading may still cover, oldest first.
+    recent_sends: VecDeque<(Millis, f64)>,
+    /// Units offered at this gateway and seconds of observation. Both fade, last at `local_faded_at`.
+    local_offered_units: f64,
+    local_seconds: f64,
+    local_faded_at: Millis,
+    /// Seconds that readings covered, and units that the other gateways sent and were offered in that time.
+    /// All three fade, last at `last_reading_at`.
+    reading_seconds: f64,
+    units_sent_elsewhere: f64,
+    units_offered_elsewhere: f64,
+    /// Arrival of the last reading, and the end of the meter period that it covers.
+    last_reading_at: Option<Millis>,
+    last_period_end: Millis,
+    /// Mean time between readings, in seconds.
+    mean_reading_gap: f64,
+    /// Content in units, at `ceiling_filled_at`, of this gateway's share of the ceiling's token bucket.
+    ceiling_units: f64,
+    ceiling_filled_at: Millis,
+    /// Attempts in flight from this gateway.
+    in_flight: u32,
+    /// Requests that wait for an attempt of this customer to end.
+    queue: VecDeque<RequestId>,
 }
 
 /// The decisions of one gateway.
@@ -143,42 +209,50 @@
 pub struct Gateway {
     settings: Settings,
     rng: Rand64,
-    born: Millis,
+    started_at: Millis,
     now: Millis,
     customers: BTreeMap<CustomerId, Customer>,
-    /// What customers of each plan send and offer, in parts of the quota, as far as readings tell.
+    /// By plan, the mean rates that its customers send and offer, as fractions of the quota, from readings.
     plan_use: Vec<(f64, f64)>,
     meter: MeterPeriods,
-    swept: Millis,
-    /// Refusals since then for want of room, and for want of a server.
-    no_room: u32,
-    no_server: u32,
-    requests: BTreeMap<RequestId, Open>,
+    last_cleanup_at: Millis,
+    /// Refusals since the last clean-up for lack of server capacity, and for lack of any server.
+    refused_no_capacity: u32,
+    refused_no_server: u32,
+    requests: BTreeMap<RequestId, TrackedRequest>,
     fleet: Fleet,
     counter_limits: CounterLimits,
-    /// Recent share of each class in the offered units, and the classes from the highest worth down.
+    /// Fraction of each class among recent requests.
     class_mix: Vec<f64>,
-    class_order: Vec<usize>,
-    answer_time: Vec<f64>,
-    /// Share of what the quotas admit that the servers have room for, and when it was last set.
-    room: f64,
-    room_at: Millis,
-    idle_part: f64,
-    full_at: Millis,
-    /// Learned limit on own work in flight, and whether it still doubles as at the start.
-    limit: f64,
+    /// Indices of the classes, highest worth first.
+    classes_by_worth: Vec<usize>,
+    /// By class, the mean time of a successful attempt, in ms.
+    class_response_time: Vec<f64>,
+    /// Fraction of the requests within the quotas that the servers have capacity for, and its last change.
+    capacity_share: f64,
+    capacity_share_at: Millis,
+    /// Attempts in flight up to which the capacity share is ignored; see `QUEUE_FREE_PER_SERVER`.
+    queue_free_attempts: f64,
+    /// When a server last turned a request away as overloaded.
+    last_overload_at: Millis,
+    /// Limit on this gateway's recent attempts in flight, adapted to late and timely responses.
+    in_flight_limit: f64,
+    /// Whether `in_flight_limit` still grows by one attempt per timely response, until the first late one.
     slow_start: bool,
-    /// Time that first tries of each class are given, and by how many requests that leads.
-    first_wait: Vec<(Millis, u32)>,
+    /// By class, the time limit of first requests in ms, and by how many requests it leads the others.
+    first_time_limit: Vec<(Millis, u32)>,
+    /// Further attempts that may still be sent.
     retry_budget: f64,
 }
 
-fn blend(average: &mut f64, sample: f64, weight: f64) {
+/// Moves a moving average towards a sample, which gets the given weight.
+fn update_average(average: &mut f64, sample: f64, weight: f64) {
     *average += weight * (sample - *average);
 }
 
-/// The chance of one kind when a share of the whole is admitted, the kinds in `order` first.
-fn ordered_chance(share: f64, mix: &[f64], order: &[usize], kind: usize) -> f64 {
+/// The chance that a request of one kind is admitted, where `share` of all requests are, and the kinds that
+/// come first in `order` go first. `mix` holds the weight of each kind among the requests.
+fn chance_in_order(share: f64, mix: &[f64], order: &[usize], kind: usize) -> f64 {
     let total: f64 = mix.iter().sum();
     let mut left = share * total;
     for &other in order {
@@ -194,22 +268,22 @@
     /// A gateway that starts at `now` with an empty server list.
     ///
     /// # Errors
-    /// Names the first setting that makes no sense.
+    /// The first setting whose value is out of range.
     pub fn new(settings: Settings, seed: u64, now: Millis) -> Result<Gateway, InvalidSetting> {
         settings.validate()?;
         let classes = settings.classes.len();
-        let mut class_order: Vec<usize> = (0..classes).collect();
-        class_order.sort_by(|&a, &b| settings.classes[b].worth.total_cmp(&settings.classes[a].worth));
+        let mut classes_by_worth: Vec<usize> = (0..classes).collect();
+        classes_by_worth.sort_by(|&a, &b| settings.classes[b].worth.total_cmp(&settings.classes[a].worth));
         Ok(Gateway {
             rng: Rand64::new(u128::from(seed)),
-            born: now,
+            started_at: now,
             now,
             customers: BTreeMap::new(),
-            plan_use: vec![(CALM_USE, CALM_USE); settings.plans.len()],
+            plan_use: vec![(INITIAL_QUOTA_USE, INITIAL_QUOTA_USE); settings.plans.len()],
             meter: MeterPeriods::new(settings.meter_period),
-            swept: now,
-            no_room: 0,
-            no_server: 0,
+            last_cleanup_at: now,
+            refused_no_capacity: 0,
+            refused_no_server: 0,
             requests: BTreeMap::new(),
             fleet: Fleet::default(),
             counter_limits: CounterLimits::new(
@@ -217,83 +291,90 @@
                 settings.plans.len(),
             ),
             class_mix: vec![1.0 / classes.max(1) as f64; classes],
-            class_order,
-            answer_time: settings
+            classes_by_worth,
+            class_response_time: settings
                 .classes
                 .iter()
                 .map(|class| class.latency_target / (2.0 * HEDGE_AFTER))
                 .collect(),
-            room: START_ROOM,
-            room_at: now,
-            idle_part: 0.0,
-            full_at: f64::NEG_INFINITY,
-            limit: 1.0,
+            capacity_share: INITIAL_CAPACITY_SHARE,
+            capacity_share_at: now,
+            queue_free_attempts: 0.0,
+            last_overload_at: f64::NEG_INFINITY,
+            in_flight_limit: 1.0,
             slow_start: true,
-            first_wait: vec![(0.0, 0); classes],
+            first_time_limit: vec![(0.0, 0); classes],
             retry_budget: 1.0,
             settings,
         })
     }
 
-    /// Takes one event and appends what is to be done, in order.
+    /// Handles one event and appends the actions to be carried out, in order.
     pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         match event {
-            Event::Request(request) => self.arrive(request, actions),
+            Event::Request(request) => self.request_arrived(request, actions),
             Event::AttemptEnd(end) => self.attempt_ended(end, actions),
             Event::ResponseStarted(request) | Event::ClientDisconnected(request) => self.close(request),
             Event::Timer(token) => match (token % 4, token / 4) {
-                (DEADLINE, request) => self.give_up(request, actions),
-                (REVIEW, request) => self.review(request, actions),
-                (RETURNS, _) => self.counter_limits.retry_returns(self.now),
+                (TIMER_DEADLINE, request) => self.end_without_response(request, actions),
+                (TIMER_OVERDUE, request) => self.check_overdue(request, actions),
+                (TIMER_COUNTER_RETURNS, _) => self.counter_limits.retry_returns(self.now),
                 _ => actions.push(Action::WatchServers),
             },
             Event::Servers { kind, entries } => self.update_servers(kind, entries, actions),
-            Event::CounterAnswer { key, result } => self.counted(key, result, actions),
-            Event::WallClockStepped { offset: ahead } => self.counter_limits.set_clock(ahead),
+            Event::CounterAnswer { key, result } => self.counter_answered(key, result, actions),
+            Event::WallClockStepped { offset } => self.counter_limits.set_clock(offset),
             Event::CounterReplaced => self.counter_limits.counter_replaced(),
         }
-        self.counter_limits.take_actions(self.now, RETURNS, actions);
+        self.counter_limits.take_actions(self.now, TIMER_COUNTER_RETURNS, actions);
     }
 
-    fn arrive(&mut self, mut request: Request, actions: &mut Vec<Action>) {
+    fn request_arrived(&mut self, mut request: Request, actions: &mut Vec<Action>) {
         let expires_in = if request.expires_in.is_finite() { request.expires_in.max(0.0) } else { 0.0 };
         if self.requests.contains_key(&request.id) {
             return;
         }
-        let open = Open { request, arrived: self.now, attempts: Vec::new(), held: false, done: false };
-        self.requests.insert(request.id, open);
-        // Answer before the client gives up; two calls of the host are the margin for the way back.
+        let tracked = TrackedRequest {
+            request,
+            arrived_at: self.now,
+            attempts: Vec::new(),
+            queued: false,
+            closed: false,
+        };
+        self.requests.insert(request.id, tracked);
+        // Answers before the client gives up; the margin of two ticks is for the answer's way to the client.
         let at = self.now + (expires_in - 2.0 * self.settings.tick).max(0.0);
-        actions.push(Action::Timer { at, token: (request.id << 2) + DEADLINE });
+        actions.push(Action::Timer { at, token: (request.id << 2) + TIMER_DEADLINE });
         let known = request.class < self.settings.classes.len() && request.plan < self.settings.plans.len();
         if !known || !request.units.is_finite() || request.units < 0.0 {
             self.refuse(request.id, 0.0, RefusalReason::Malformed, actions);
             return;
         }
-        self.sweep(actions);
-        let waited = self.waited(&mut request, expires_in);
-        if let Some(open) = self.requests.get_mut(&request.id) {
-            (open.arrived, open.request) = (open.arrived - waited, request);
+        self.clean_up(actions);
+        let since_first = self.time_since_first_request(&mut request, expires_in);
+        if let Some(tracked) = self.requests.get_mut(&request.id) {
+            (tracked.arrived_at, tracked.request) = (tracked.arrived_at - since_first, request);
         }
         for (class, share) in self.class_mix.iter_mut().enumerate() {
-            blend(share, f64::from(u8::from(class == request.class)), SAMPLE / 2.0);
+            update_average(share, f64::from(u8::from(class == request.class)), SAMPLE_WEIGHT / 2.0);
         }
-        self.note(&request);
-        // Where there is no meter, what one of many gateways sees tells next to nothing of the rest.
+        self.record_customer(&request);
+        // Without a meter, one of many gateways can't infer the customer's total rate from its own traffic,
+        // so the counter's token bucket decides where excess is costly.
         let plan = self.settings.plans[request.plan];
-        let blind = self.settings.meter_period <= 0.0 && plan.rate > 0.0 && plan.excess_cost > 0.0;
-        if blind && self.asks_counter(&request) {
+        let needs_counter = self.settings.meter_period <= 0.0 && plan.rate > 0.0 && plan.excess_cost > 0.0;
+        if needs_counter && self.should_ask_counter(&request) {
             self.counter_limits.draw_units(self.now, &request, &plan);
             return;
         }
-        let share = self.without_counter(&request);
+        let share = self.share_without_counter(&request);
         self.admit_by_chance(&request, share, actions);
     }
 
-    /// The share of such requests that the quota lets in as far as is known without the counter's word.
-    fn without_counter(&mut self, request: &Request) -> f64 {
-        let share = self.within_quota(request);
+    /// The fraction of such requests that the quota lets in, by what is known without asking the counter.
+    fn share_without_counter(&mut self, request: &Request) -> f64 {
+        let share = self.share_within_quota(request);
         if request.spread > 1 {
             share.min(self.counter_limits.admitted_share(request))
         } else {
@@ -301,113 +382,130 @@
         }
     }
 
-    fn asks_counter(&mut self, request: &Request) -> bool {
+    fn should_ask_counter(&mut self, request: &Request) -> bool {
         self.settings.counter && request.spread > 1 && self.counter_limits.should_ask(self.rng.rand_float())
     }
 
-    /// Admits a request at random, where the quota lets that share of its customer's requests in.
+    /// Admits or refuses a request at random, where the quota lets in `share` of its customer's requests.
     fn admit_by_chance(&mut self, request: &Request, share: f64, actions: &mut Vec<Action>) {
-        let waited =
-            if request.is_client_retry { self.now - self.requests[&request.id].arrived } else { 0.0 };
-        let (class, answer) = (self.settings.classes[request.class], self.answer_time[request.class]);
-        let full = self.now < self.full_at + class.latency_target;
-        let flight = self.recent_attempts(class.latency_target);
-        let idle = !full && self.rng.rand_float() < self.idle_part - self.recent_attempts(f64::INFINITY);
-        // Guards against a surge that is in before its late answers are: beyond the limit on work in flight
-        // the chance falls, to nothing at two deviations more.
-        let slack = 2.0 * self.limit.sqrt() + 1.0;
-        let open = if idle { 1.0 } else { ((self.limit + slack - flight) / slack).clamp(0.0, self.room) };
-        let (mix, order) = (&self.class_mix, &self.class_order);
-        // The floor shrinks with the room: a fixed part of thousands of retries would feed a jam.
-        let even = EVEN * self.customers.get(&request.customer).map_or(0.0, Customer::dark);
-        let chance = |open: f64| {
-            let ordered = ordered_chance(share * open, mix, order, request.class);
-            (ordered + even * (share * open - ordered)).max(CHANCE_FLOOR * open)
+        let since_first =
+            if request.is_client_retry { self.now - self.requests[&request.id].arrived_at } else { 0.0 };
+        let (class, response_time) =
+            (self.settings.classes[request.class], self.class_response_time[request.class]);
+        let overloaded = self.now < self.last_overload_at + class.latency_target;
+        let in_flight = self.in_flight_sent_within(class.latency_target);
+        let queue_free = !overloaded
+            && self.rng.rand_float() < self.queue_free_attempts - self.in_flight_sent_within(f64::INFINITY);
+        // A surge is admitted before its late responses can show it. So the chance falls linearly beyond
+        // the in-flight limit, to 0 at two standard deviations above it.
+        let margin = 2.0 * self.in_flight_limit.sqrt() + 1.0;
+        let capacity = if queue_free {
+            1.0
+        } else {
+            ((self.in_flight_limit + margin - in_flight) / margin).clamp(0.0, self.capacity_share)
+        };
+        let (mix, order) = (&self.class_mix, &self.classes_by_worth);
+        let even = EVEN_REFUSAL_FRACTION
+            * self.customers.get(&request.customer).map_or(0.0, Customer::unseen_fraction);
+        // The least chance shrinks with the capacity: a fixed fraction of thousands of retries would keep
+        // overloaded servers overloaded.
+        let chance = |capacity: f64| {
+            let by_worth = chance_in_order(share * capacity, mix, order, request.class);
+            (by_worth + even * (share * capacity - by_worth)).max(MIN_ADMISSION_CHANCE * capacity)
         };
-        let (quota, room, coin) = (chance(1.0), chance(open), self.rng.rand_float());
-        // Guards against a further try past its aim that takes quota for the worth of a late answer.
-        let late = if waited > 0.0 && waited + answer > class.latency_target {
+        let (quota_chance, capacity_chance, draw) = (chance(1.0), chance(capacity), self.rng.rand_float());
+        // A retry that can't be answered within the latency target any more earns only the worth of a late
+        // response, so it gets only that fraction of the chance and leaves quota to requests in time.
+        let late_factor = if since_first > 0.0 && since_first + response_time > class.latency_target {
             class.late_share.min(1.0)
         } else {
             1.0
         };
-        if share <= 0.0 || coin >= quota * late {
+        if share <= 0.0 || draw >= quota_chance * late_factor {
             let (period, rate) = (self.settings.meter_period, self.settings.plans[request.plan].rate);
-            let usual = if period > 0.0 { COME_BACK * period } else { 1000.0 / rate };
-            let wait = usual * (0.5 + self.rng.rand_float());
+            let mean_wait = if period > 0.0 { QUOTA_RETRY_AFTER_PERIODS * period } else { 1000.0 / rate };
+            let wait = mean_wait * (0.5 + self.rng.rand_float());
             self.refuse(request.id, wait, RefusalReason::Quota, actions);
-        } else if coin >= room * late {
-            self.no_room += 1;
+        } else if draw >= capacity_chance * late_factor {
+            self.refused_no_capacity += 1;
             self.refuse(request.id, self.settings.max_retry_after, RefusalReason::NoCapacity, actions);
         } else {
             self.dispatch(request.id, actions);
         }
     }
 
-    /// How long a client has been trying before this try: less time left than first tries get is what remains
-    /// of the class's deadline. Where clients mark nothing, a clear majority tells what first tries get.
-    fn waited(&mut self, request: &mut Request, expires_in: Millis) -> Millis {
-        let near = 4.0 * self.settings.tick; // The ways here differ.
-        let (usual, lead) = &mut self.first_wait[request.class];
+    /// How long ago the client sent its first request, 0 if this is the first. A retry has less time left
+    /// than a first request of its class, namely the rest of the class's deadline. Where clients mark no
+    /// retries, the time limit of a clear majority of requests is taken for that of first requests.
+    fn time_since_first_request(&mut self, request: &mut Request, expires_in: Millis) -> Millis {
+        let tolerance = 4.0 * self.settings.tick; // Requests take different times to arrive.
+        let (usual, lead) = &mut self.first_time_limit[request.class];
         if !request.is_client_retry {
-            let agrees = (expires_in - *usual).abs() <= near;
-            *lead = if agrees { (*lead + 1).min(2 * MAJORITY) } else { lead.saturating_sub(1) };
+            let agrees = (expires_in - *usual).abs() <= tolerance;
+            *lead = if agrees { (*lead + 1).min(2 * MIN_MAJORITY_LEAD) } else { lead.saturating_sub(1) };
             if *lead == 0 {
                 (*usual, *lead) = (expires_in, 1);
             }
         }
-        if expires_in >= *usual - near || !(request.is_client_retry || *lead > MAJORITY) {
+        if expires_in >= *usual - tolerance || !(request.is_client_retry || *lead > MIN_MAJORITY_LEAD) {
             return 0.0;
         }
         request.is_client_retry = true;
         (self.settings.classes[request.class].deadline - expires_in).max(0.0)
     }
 
-    fn note(&mut self, request: &Request) {
-        let (now, born, plan) = (self.now, self.born, self.settings.plans[request.plan]);
+    /// Adds the request's customer if it is new, and updates its plan, spread and time of the last request.
+    fn record_customer(&mut self, request: &Request) {
+        let (now, started_at, plan) = (self.now, self.started_at, self.settings.plans[request.plan]);
         let spread = f64::from(request.spread.max(1));
         let customer = self.customers.entry(request.customer).or_insert_with(|| Customer {
-            store: START_STORE * plan.burst,
-            told: now,
-            read: f64::NEG_INFINITY,
-            chance: 1.0,
-            chance_set: f64::NEG_INFINITY,
-            heard_at: born,
-            reading_gap: spread / plan.rate.max(f64::MIN_POSITIVE),
-            ceiling_at: born,
+            bucket: INITIAL_BUCKET_FILL * plan.burst,
+            bucket_at: now,
+            last_period_end: f64::NEG_INFINITY,
+            admission_chance: 1.0,
+            chance_set_at: f64::NEG_INFINITY,
+            local_faded_at: started_at,
+            mean_reading_gap: spread / plan.rate.max(f64::MIN_POSITIVE),
+            ceiling_filled_at: started_at,
             ..Customer::default()
         });
-        (customer.seen, customer.plan, customer.spread) = (now, request.plan, spread);
+        (customer.last_request_at, customer.plan, customer.spread) = (now, request.plan, spread);
     }
 
-    /// The coin's chance, set once a period to what the quota and the estimated store allow over the offers.
-    fn within_quota(&mut self, request: &Request) -> f64 {
+    /// The fraction of a customer's requests that its quota lets in. Once per meter period it is set to
+    /// what the quota and the estimated bucket allow, divided by the offered rate.
+    fn share_within_quota(&mut self, request: &Request) -> f64 {
         let (now, period) = (self.now, self.settings.meter_period);
         let plan = self.settings.plans[request.plan];
         let Some(customer) = self.customers.get_mut(&request.customer) else { return 1.0 };
         if plan.rate <= 0.0 {
             return 1.0;
         }
-        let seconds = (now - customer.heard_at) / 1000.0;
-        let fade = (-seconds * plan.rate / (OWN_UNITS * customer.spread)).exp();
-        customer.offered_here *= fade;
-        (customer.heard, customer.heard_at) = (customer.heard * fade + seconds, now);
-        let usual = self.plan_use[request.plan];
-        customer.settle(&plan, usual, now, self.meter.history_span());
-        if now >= customer.chance_set + period {
-            customer.set_chance(&plan, usual, now, period);
+        let seconds = (now - customer.local_faded_at) / 1000.0;
+        let fade = (-seconds * plan.rate / (LOCAL_MEMORY_UNITS * customer.spread)).exp();
+        customer.local_offered_units *= fade;
+        (customer.local_seconds, customer.local_faded_at) = (customer.local_seconds * fade + seconds, now);
+        let plan_use = self.plan_use[request.plan];
+        customer.expire_history(&plan, plan_use, now, self.meter.history_span());
+        if now >= customer.chance_set_at + period {
+            customer.update_chance(&plan, plan_use, now, period);
         }
-        customer.offered_here += request.units;
-        if customer.content(&plan, usual, now, now) < customer.unseen(&plan, now, self.meter.delay()) {
-            return CHANCE_FLOOR;
+        customer.local_offered_units += request.units;
+        if customer.bucket_content(&plan, plan_use, now, now)
+            < customer.unseen_surge(&plan, now, self.meter.delay())
+        {
+            return MIN_ADMISSION_CHANCE;
         }
-        let again =
-            if request.is_client_retry && plan.excess_cost > 0.0 { AGAIN * customer.dark() } else { 0.0 };
-        customer.chance * (1.0 - again)
+        let retry_cut = if request.is_client_retry && plan.excess_cost > 0.0 {
+            RETRY_CHANCE_CUT * customer.unseen_fraction()
+        } else {
+            0.0
+        };
+        customer.admission_chance * (1.0 - retry_cut)
     }
 
-    /// Takes a reading of the meter. They carry no number: the meter's clock says which period one is of.
-    fn read_meter(&mut self, customer: CustomerId, quota_usage: f64) {
+    /// Applies a meter reading. A reading doesn't say which period it covers; `meter` infers that.
+    fn apply_reading(&mut self, customer: CustomerId, quota_usage: f64) {
         let (now, period) = (self.now, self.settings.meter_period);
         let Some(customer) = self.customers.get_mut(&customer) else { return };
         let plan = self.settings.plans[customer.plan];
@@ -415,336 +513,391 @@
             return;
         }
         let units = quota_usage * plan.rate * period / 1000.0;
-        self.meter.learn(now, units, &customer.sends);
-        let to = self.meter.period_end(now, units, |from, to| customer.sent(from, to));
-        if to <= customer.read {
+        self.meter.learn(now, units, &customer.recent_sends);
+        let period_end = self.meter.period_end(now, units, |from, to| customer.units_sent(from, to));
+        if period_end <= customer.last_period_end {
             return;
         }
-        customer.read = to;
-        let usual = &mut self.plan_use[customer.plan];
-        customer.advance(&plan, *usual, now, to - period);
-        let seconds = (to - customer.told).max(0.0) / 1000.0;
-        customer.store = (customer.store + (1.0 - quota_usage) * plan.rate * seconds).clamp(0.0, plan.burst);
-        customer.told = customer.told.max(to);
-        if let Some(at) = customer.reading_at {
-            blend(&mut customer.reading_gap, (now - at) / 1000.0, LEARN);
-        }
-        let fade = customer.fade(&plan, now);
-        customer.reading_at = Some(now);
-        let held = customer.chances.iter().rev().find(|(at, _)| *at <= to - period / 2.0);
-        let chance = held.or(customer.chances.front()).map_or(1.0, |held| held.1);
-        let elsewhere = units - customer.sent(to - period, to);
-        let prior = PRIOR_UNITS / plan.rate;
-        let weight = SAMPLE * prior / (prior + customer.watched * fade);
-        customer.watched = customer.watched * fade + period / 1000.0;
-        customer.sent_elsewhere = (customer.sent_elsewhere * fade + elsewhere).max(0.0);
-        customer.offered_elsewhere = (customer.offered_elsewhere * fade + elsewhere / chance).max(0.0);
-        blend(&mut usual.0, quota_usage, weight);
-        blend(&mut usual.1, quota_usage / chance, weight);
-        customer.set_chance(&plan, *usual, now, period);
-    }
-
-    /// Adapts the room to one answer, or one overdue, in proportion to the time since the last: few gateways
-    /// and many move alike. Guards against overload within the quotas by early refusals of the cheap.
-    fn adapt(&mut self, class: usize, timely: bool) {
-        let aim = self.settings.classes[class].latency_target;
-        let weight = ((self.now - self.room_at) / aim).min(MOST_WEIGHT);
-        self.room_at = self.now;
+        customer.last_period_end = period_end;
+        let plan_use = &mut self.plan_use[customer.plan];
+        customer.advance_bucket(&plan, *plan_use, now, period_end - period);
+        let seconds = (period_end - customer.bucket_at).max(0.0) / 1000.0;
+        customer.bucket =
+            (customer.bucket + (1.0 - quota_usage) * plan.rate * seconds).clamp(0.0, plan.burst);
+        customer.bucket_at = customer.bucket_at.max(period_end);
+        if let Some(at) = customer.last_reading_at {
+            update_average(&mut customer.mean_reading_gap, (now - at) / 1000.0, READING_GAP_WEIGHT);
+        }
+        let fade = customer.reading_weight(&plan, now);
+        customer.last_reading_at = Some(now);
+        // The units offered elsewhere are those sent there, divided by the chance in mid-period.
+        let earlier = customer.chance_history.iter().rev().find(|(at, _)| *at <= period_end - period / 2.0);
+        let chance = earlier.or(customer.chance_history.front()).map_or(1.0, |earlier| earlier.1);
+        let elsewhere = units - customer.units_sent(period_end - period, period_end);
+        let prior = PLAN_PRIOR_UNITS / plan.rate;
+        let weight = SAMPLE_WEIGHT * prior / (prior + customer.reading_seconds * fade);
+        customer.reading_seconds = customer.reading_seconds * fade + period / 1000.0;
+        customer.units_sent_elsewhere = (customer.units_sent_elsewhere * fade + elsewhere).max(0.0);
+        customer.units_offered_elsewhere =
+            (customer.units_offered_elsewhere * fade + elsewhere / chance).max(0.0);
+        update_average(&mut plan_use.0, quota_usage, weight);
+        update_average(&mut plan_use.1, quota_usage / chance, weight);
+        customer.update_chance(&plan, *plan_use, now, period);
+    }
+
+    /// Adapts the capacity share and the in-flight limit to one response, or to one that is overdue; under
+    /// overload within the quotas the lowest worth is then refused early. The share changes in proportion
+    /// to the time since the last response, so that it moves alike with few gateways and with many.
+    fn adapt_to_load(&mut self, class: usize, timely: bool) {
+        let target = self.settings.classes[class].latency_target;
+        let weight = ((self.now - self.capacity_share_at) / target).min(MAX_RESPONSE_WEIGHT);
+        self.capacity_share_at = self.now;
         if timely {
-            self.room = (self.room + GROWTH * (self.room + PROBE) * weight).min(1.0);
-            if 2.0 * (self.recent_attempts(aim) + 1.0) >= self.limit {
-                self.limit += if self.slow_start { 1.0 } else { STEP * (1.0 + self.limit / STEP_DOUBLES_AT) };
+            self.capacity_share = (self.capacity_share
+                + CAPACITY_GROWTH * (self.capacity_share + CAPACITY_GROWTH_BASE) * weight)
+                .min(1.0);
+            // The limit grows only while at least half of it is in use.
+            if 2.0 * (self.in_flight_sent_within(target) + 1.0) >= self.in_flight_limit {
+                self.in_flight_limit += if self.slow_start {
+                    1.0
+                } else {
+                    LIMIT_STEP * (1.0 + self.in_flight_limit / LIMIT_STEP_DOUBLES_AT)
+                };
             }
         } else {
             self.slow_start = false;
-            self.limit = (self.limit * SHRINK).max(self.idle_part).max(1.0);
-            self.room = (self.room * (1.0 - CUT * weight)).max(LEAST_ROOM);
+            self.in_flight_limit =
+                (self.in_flight_limit * LIMIT_SHRINK).max(self.queue_free_attempts).max(1.0);
+            self.capacity_share =
+                (self.capacity_share * (1.0 - CAPACITY_CUT * weight)).max(MIN_CAPACITY_SHARE);
         }
     }
 
-    /// Own attempts out that were sent within that time.
-    fn recent_attempts(&self, aim: Millis) -> f64 {
-        self.fleet.sent_after(self.now - aim) as f64
+    /// This gateway's attempts in flight that were sent within the last `time` milliseconds.
+    fn in_flight_sent_within(&self, time: Millis) -> f64 {
+        self.fleet.sent_after(self.now - time) as f64
     }
 
-    fn sweep(&mut self, actions: &mut Vec<Action>) {
+    /// At most once a second, logs the number of refusals and forgets idle customers.
+    fn clean_up(&mut self, actions: &mut Vec<Action>) {
         let now = self.now;
-        if now < self.swept + 1000.0 {
+        if now < self.last_cleanup_at + 1000.0 {
             return;
         }
-        self.swept = now;
-        if self.no_room + self.no_server > 0 {
-            let text = format!("{} refused for want of room, {} of a server", self.no_room, self.no_server);
+        self.last_cleanup_at = now;
+        if self.refused_no_capacity + self.refused_no_server > 0 {
+            let text = format!(
+                "requests refused: {} for lack of server capacity, {} for lack of an available server",
+                self.refused_no_capacity, self.refused_no_server
+            );
             actions.push(Action::Log(text));
         }
-        (self.no_room, self.no_server) = (0, 0);
+        (self.refused_no_capacity, self.refused_no_server) = (0, 0);
         self.customers.retain(|_, customer| {
             let plan = &self.settings.plans[customer.plan];
             let fill = |burst: f64, rate: f64| if rate > 0.0 { burst / rate * 1000.0 } else { 0.0 };
             let full = fill(plan.burst, plan.rate).max(fill(plan.ceiling_burst, plan.ceiling_rate));
-            let idle = now >= customer.seen + IDLE_FILLS * full.max(1000.0);
-            !idle || customer.open > 0 || !customer.held.is_empty()
+            let idle = now >= customer.last_request_at + IDLE_FILL_TIMES * full.max(1000.0);
+            !idle || customer.in_flight > 0 || !customer.queue.is_empty()
         });
     }
 
-    /// Takes units from the own share of the ceiling, which fills from birth: an earlier life's is not known.
-    fn under_ceiling(&mut self, request: &Request) -> bool {
+    /// Takes the request's units from this gateway's share of the ceiling's token bucket, if it holds them.
+    /// The share starts empty with the gateway, as it is not known what was sent before a restart.
+    fn take_from_ceiling(&mut self, request: &Request) -> bool {
         let plan = &self.settings.plans[request.plan];
         let Some(customer) = self.customers.get_mut(&request.customer) else { return false };
         if plan.ceiling_rate <= 0.0 {
             return true;
         }
-        let filled = (self.now - customer.ceiling_at).max(0.0) / 1000.0 * plan.ceiling_rate / customer.spread;
-        let most = (plan.ceiling_burst + plan.ceiling_overdraft) / customer.spread;
-        customer.ceiling = (customer.ceiling + filled).min(most);
-        customer.ceiling_at = self.now;
-        if customer.ceiling < request.units {
+        let filled =
+            (self.now - customer.ceiling_filled_at).max(0.0) / 1000.0 * plan.ceiling_rate / customer.spread;
+        let size = (plan.ceiling_burst + plan.ceiling_overdraft) / customer.spread;
+        customer.ceiling_units = (customer.ceiling_units + filled).min(size);
+        customer.ceiling_filled_at = self.now;
+        if customer.ceiling_units < request.units {
             return false;
         }
-        customer.ceiling -= request.units;
+        customer.ceiling_units -= request.units;
         true
     }
 
+    /// Mean response time over the current mix of classes.
     fn mean_response_time(&self) -> f64 {
-        self.answer_time.iter().zip(&self.class_mix).map(|(time, share)| time * share).sum()
+        self.class_response_time.iter().zip(&self.class_mix).map(|(time, share)| time * share).sum()
     }
 
-    fn moment(&self) -> FleetClock {
+    fn fleet_clock(&self) -> FleetClock {
         FleetClock { now: self.now, mean_response_time: self.mean_response_time() }
     }
 
-    fn choose(&mut self, request: RequestId) -> Option<ServerId> {
-        let open = &self.requests[&request];
-        let idempotency = self.settings.classes[open.request.class].idempotency;
-        let home = open.attempts.iter().find(|attempt| attempt.may_have_run).map(|attempt| attempt.to);
-        let tried = |id| open.attempts.iter().any(|attempt| attempt.to.id == id);
-        self.fleet.choose_server(self.moment(), &self.settings, idempotency, home, tried, &mut self.rng)
+    fn choose_server(&mut self, request: RequestId) -> Option<ServerId> {
+        let tracked = &self.requests[&request];
+        let idempotency = self.settings.classes[tracked.request.class].idempotency;
+        let ran_on =
+            tracked.attempts.iter().find(|attempt| attempt.may_have_run).map(|attempt| attempt.server);
+        let tried = |id| tracked.attempts.iter().any(|attempt| attempt.server.id == id);
+        self.fleet.choose_server(
+            self.fleet_clock(),
+            &self.settings,
+            idempotency,
+            ran_on,
+            tried,
+            &mut self.rng,
+        )
     }
 
-    fn judge(&mut self, class: usize, id: ServerId, end: &AttemptEnd, actions: &mut Vec<Action>) {
-        let usual = self.answer_time[class].max(1.0);
+    /// Learns from the end of an attempt: the load, the server's health and the class's response time.
+    fn record_outcome(&mut self, class: usize, id: ServerId, end: &AttemptEnd, actions: &mut Vec<Action>) {
+        let usual = self.class_response_time[class].max(1.0);
         let elapsed = if end.elapsed.is_finite() { end.elapsed.max(0.0) } else { 0.0 };
         match end.outcome {
-            Outcome::Ok => self.adapt(class, elapsed <= LATE * self.settings.classes[class].latency_target),
-            Outcome::Overloaded | Outcome::TimedOut => self.adapt(class, false),
+            Outcome::Ok => self
+                .adapt_to_load(class, elapsed <= LATE_FRACTION * self.settings.classes[class].latency_target),
+            Outcome::Overloaded | Outcome::TimedOut => self.adapt_to_load(class, false),
             _ => {}
         }
         if end.outcome == Outcome::Overloaded {
-            self.full_at = self.now;
+            self.last_overload_at = self.now;
         }
-        self.fleet.record_outcome(self.moment(), id, end.outcome, elapsed, usual, actions);
+        self.fleet.record_outcome(self.fleet_clock(), id, end.outcome, elapsed, usual, actions);
         if end.outcome == Outcome::Ok && self.fleet.entry(id).is_some() {
-            blend(&mut self.answer_time[class], elapsed, SAMPLE / 5.0);
+            update_average(&mut self.class_response_time[class], elapsed, SAMPLE_WEIGHT / 5.0);
         }
     }
 
-    /// Sends a first attempt, or holds the request while its customer's are all out.
+    /// Sends the first attempt of an admitted request, or queues the request while its customer has as many
+    /// attempts in flight as its plan allows.
     fn dispatch(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let request = self.requests[&id].request;
         let plan = self.settings.plans[request.plan];
-        let aim = self.settings.classes[request.class].latency_target;
+        let target = self.settings.classes[request.class].latency_target;
         let Some(customer) = self.customers.get_mut(&request.customer) else { return };
-        if plan.max_concurrent > 0 && customer.open >= plan.max_concurrent {
-            customer.held.push_back(id);
-            if let Some(open) = self.requests.get_mut(&id) {
-                open.held = true;
+        if plan.max_concurrent > 0 && customer.in_flight >= plan.max_concurrent {
+            customer.queue.push_back(id);
+            if let Some(tracked) = self.requests.get_mut(&id) {
+                tracked.queued = true;
             }
-            actions.push(Action::Timer { at: self.now + USEFUL * aim, token: (id << 2) + REVIEW });
+            actions.push(Action::Timer {
+                at: self.now + USEFUL_START_FRACTION * target,
+                token: (id << 2) + TIMER_OVERDUE,
+            });
             return;
         }
-        if plan.max_concurrent > 0 && self.asks_counter(&request) {
+        if plan.max_concurrent > 0 && self.should_ask_counter(&request) {
             self.counter_limits.acquire_slot(self.now, &request);
             return;
         }
-        self.send_first(id, actions);
+        self.send_first_attempt(id, actions);
     }
 
-    /// Goes on with a request that asked the counter. Without word from it what is known here has to do.
-    fn counted(&mut self, key: CounterKey, result: AddResult, actions: &mut Vec<Action>) {
-        let told = self.counter_limits.call_ended(self.now, key, result, &self.settings.plans);
-        let Some((id, told)) = told else { return };
-        if matches!(told, LimitAnswer::Reacquired) && self.requests.contains_key(&id) {
+    /// Continues a request for which the counter was asked. Without an answer, local estimates decide.
+    fn counter_answered(&mut self, key: CounterKey, result: AddResult, actions: &mut Vec<Action>) {
+        let ended = self.counter_limits.call_ended(self.now, key, result, &self.settings.plans);
+        let Some((id, answer)) = ended else { return };
+        if matches!(answer, LimitAnswer::Reacquired) && self.requests.contains_key(&id) {
             return;
         }
-        let Some(open) = self.requests.get(&id).filter(|open| !open.done) else {
+        let Some(tracked) = self.requests.get(&id).filter(|tracked| !tracked.closed) else {
             self.counter_limits.release(self.now, id);
             return;
         };
-        let request = open.request;
-        match told {
+        let request = tracked.request;
+        match answer {
             LimitAnswer::WithinBucket(within) => {
                 let share = within.map(|within| f64::from(u8::from(within)));
-                let share = share.unwrap_or_else(|| self.without_counter(&request));
+                let share = share.unwrap_or_else(|| self.share_without_counter(&request));
                 self.admit_by_chance(&request, share, actions);
             }
-            LimitAnswer::InFlight(Some(taken))
-                if taken > f64::from(self.settings.plans[request.plan].max_concurrent) =>
+            LimitAnswer::InFlight(Some(in_flight))
+                if in_flight > f64::from(self.settings.plans[request.plan].max_concurrent) =>
             {
                 let wait = self.mean_response_time() * (0.5 + self.rng.rand_float());
                 self.refuse(id, wait, RefusalReason::ConcurrencyLimit, actions);
             }
-            LimitAnswer::InFlight(_) => self.send_first(id, actions),
+            LimitAnswer::InFlight(_) => self.send_first_attempt(id, actions),
             LimitAnswer::Reacquired => {}
         }
     }
 
-    fn send_first(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+    /// Sends the first attempt, or refuses if there is no server or the ceiling is reached.
+    fn send_first_attempt(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let request = self.requests[&id].request;
         let plan = self.settings.plans[request.plan];
-        match self.choose(id) {
+        match self.choose_server(id) {
             None => {
-                self.no_server += 1;
+                self.refused_no_server += 1;
                 self.refuse(id, self.settings.max_retry_after, RefusalReason::NoServer, actions);
             }
-            Some(_) if !self.under_ceiling(&request) => {
+            Some(_) if !self.take_from_ceiling(&request) => {
                 self.refuse(id, self.settings.max_retry_after, RefusalReason::Ceiling, actions)
             }
             Some(server) => {
                 if let Some(customer) = self.customers.get_mut(&request.customer).filter(|_| plan.rate > 0.0)
                 {
-                    customer.sends.push_back((self.now, request.units));
+                    customer.recent_sends.push_back((self.now, request.units));
                 }
-                let most = COPY_COST.max(self.fleet.len() as f64);
-                self.retry_budget = (self.retry_budget + RETRY_SHARE).min(most);
+                let max_budget = HEDGE_COST.max(self.fleet.len() as f64);
+                self.retry_budget = (self.retry_budget + RETRY_BUDGET_PER_REQUEST).min(max_budget);
                 self.counter_limits.keep_drawn_units(id);
-                self.send(id, server, actions);
+                self.send_attempt(id, server, actions);
             }
         }
     }
 
-    fn send(&mut self, id: RequestId, to: ServerId, actions: &mut Vec<Action>) {
-        let Some(open) = self.requests.get_mut(&id) else { return };
-        let Some(entry) = self.fleet.entry(to) else { return };
-        let idempotency = self.settings.classes[open.request.class].idempotency;
-        let start_by = open.may_repeat_until(idempotency) - 2.0 * self.settings.tick;
-        self.fleet.attempt_started(to, self.now);
-        open.held = false;
-        open.attempts.push(Attempt { to: entry, sent: self.now, out: true, may_have_run: true });
-        if let Some(customer) = self.customers.get_mut(&open.request.customer) {
-            customer.open += 1;
+    /// Sends an attempt and sets the timer at which it counts as overdue.
+    fn send_attempt(&mut self, id: RequestId, server: ServerId, actions: &mut Vec<Action>) {
+        let Some(tracked) = self.requests.get_mut(&id) else { return };
+        let Some(entry) = self.fleet.entry(server) else { return };
+        let idempotency = self.settings.classes[tracked.request.class].idempotency;
+        let start_by = tracked.may_repeat_until(idempotency) - 2.0 * self.settings.tick;
+        self.fleet.attempt_started(server, self.now);
+        tracked.queued = false;
+        tracked.attempts.push(Attempt {
+            server: entry,
+            sent_at: self.now,
+            in_flight: true,
+            may_have_run: true,
+        });
+        if let Some(customer) = self.customers.get_mut(&tracked.request.customer) {
+            customer.in_flight += 1;
         }
-        actions.push(Action::Send { request: id, server: to, give_up_at: None, start_by });
-        let class = open.request.class;
-        let patience =
-            (HEDGE_AFTER * self.answer_time[class]).min(USEFUL * self.settings.classes[class].latency_target);
-        actions.push(Action::Timer { at: self.now + patience, token: (id << 2) + REVIEW });
+        actions.push(Action::Send { request: id, server, give_up_at: None, start_by });
+        let class = tracked.request.class;
+        let overdue_after = (HEDGE_AFTER * self.class_response_time[class])
+            .min(USEFUL_START_FRACTION * self.settings.classes[class].latency_target);
+        actions.push(Action::Timer { at: self.now + overdue_after, token: (id << 2) + TIMER_OVERDUE });
     }
 
-    /// Whether two attempts may be out at once. Each counts against a cap on attempts out.
-    fn may_copy(&self, open: &Open) -> bool {
-        self.settings.may_duplicate && self.settings.plans[open.request.plan].max_concurrent == 0
+    /// Whether two attempts may be in flight at once. Under a concurrency limit they may not: each attempt
+    /// would count against it.
+    fn may_hedge(&self, tracked: &TrackedRequest) -> bool {
+        self.settings.may_duplicate && self.settings.plans[tracked.request.plan].max_concurrent == 0
     }
 
-    /// Whether a further attempt is allowed by the class, the settings and the retry budget, and of use.
-    fn may_try_again(&self, open: &Open) -> bool {
-        let class = &self.settings.classes[open.request.class];
-        let out = open.attempts.iter().any(|attempt| attempt.out);
-        self.now < open.may_repeat_until(class.idempotency) - 2.0 * self.settings.tick
-            && (self.may_copy(open) || !out)
-            && open.attempts.len() < self.settings.max_attempts as usize
-            && self.retry_budget >= if out { COPY_COST } else { 1.0 }
-            && self.now < open.arrived + class.latency_target
+    /// Whether the class, the settings and the retry budget allow a further attempt, and it can be of use.
+    fn may_send_another(&self, tracked: &TrackedRequest) -> bool {
+        let class = &self.settings.classes[tracked.request.class];
+        let in_flight = tracked.attempts.iter().any(|attempt| attempt.in_flight);
+        self.now < tracked.may_repeat_until(class.idempotency) - 2.0 * self.settings.tick
+            && (self.may_hedge(tracked) || !in_flight)
+            && tracked.attempts.len() < self.settings.max_attempts as usize
+            && self.retry_budget >= if in_flight { HEDGE_COST } else { 1.0 }
+            && self.now < tracked.arrived_at + class.latency_target
     }
 
-    /// An attempt has been out for long, or a request held: tries another server, or gives up in time.
-    fn review(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(class) = self.requests.get(&id).filter(|open| !open.done).map(|open| open.request.class)
+    /// Refuses a request that was queued for too long. Counts an attempt in flight for long as late; sends
+    /// another one or, where two at once are not allowed, cancels it if its server hangs.
+    fn check_overdue(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(class) =
+            self.requests.get(&id).filter(|tracked| !tracked.closed).map(|tracked| tracked.request.class)
         else {
             return;
         };
-        let due = self.now - LATE * self.settings.classes[class].latency_target;
-        if self.requests[&id].attempts.last().is_some_and(|last| last.out && last.sent <= due) {
-            self.adapt(class, false);
+        let late_if_sent_by = self.now - LATE_FRACTION * self.settings.classes[class].latency_target;
+        if self.requests[&id]
+            .attempts
+            .last()
+            .is_some_and(|last| last.in_flight && last.sent_at <= late_if_sent_by)
+        {
+            self.adapt_to_load(class, false);
         }
-        let open = &self.requests[&id];
-        if open.held {
-            if self.now >= open.arrived + USEFUL * self.settings.classes[open.request.class].latency_target {
+        let tracked = &self.requests[&id];
+        if tracked.queued {
+            if self.now
+                >= tracked.arrived_at
+                    + USEFUL_START_FRACTION * self.settings.classes[tracked.request.class].latency_target
+            {
                 self.refuse(id, self.settings.max_retry_after, RefusalReason::QueuedTooLong, actions);
             }
             return;
         }
-        let free = self.settings.classes[open.request.class].idempotency == Idempotency::Idempotent;
-        let Some(last) = open.attempts.last() else { return };
-        if !last.out {
+        let idempotent = self.settings.classes[tracked.request.class].idempotency == Idempotency::Idempotent;
+        let Some(last) = tracked.attempts.last() else { return };
+        if !last.in_flight {
             return;
         }
-        if self.may_try_again(open) {
-            self.further(id, actions);
-        } else if free && !self.may_copy(open) && self.settings.may_cancel {
-            let silent = self.fleet.is_hung(self.moment(), last.to.id);
-            let useful = self.now < open.arrived + self.settings.classes[open.request.class].latency_target;
-            let more = open.attempts.len() < self.settings.max_attempts as usize && self.retry_budget >= 1.0;
-            if silent && useful && more {
-                actions.push(Action::Cancel { request: id, attempt: (open.attempts.len() - 1) as u8 });
-            } else if useful && more {
-                let again = self.now + HEDGE_AFTER * self.mean_response_time() / 2.0;
-                actions.push(Action::Timer { at: again, token: (id << 2) + REVIEW });
+        if self.may_send_another(tracked) {
+            self.send_another_attempt(id, actions);
+        } else if idempotent && !self.may_hedge(tracked) && self.settings.may_cancel {
+            let hung = self.fleet.is_hung(self.fleet_clock(), last.server.id);
+            let in_time =
+                self.now < tracked.arrived_at + self.settings.classes[tracked.request.class].latency_target;
+            let attempts_left =
+                tracked.attempts.len() < self.settings.max_attempts as usize && self.retry_budget >= 1.0;
+            if hung && in_time && attempts_left {
+                actions.push(Action::Cancel { request: id, attempt: (tracked.attempts.len() - 1) as u8 });
+            } else if in_time && attempts_left {
+                let next_check = self.now + HEDGE_AFTER * self.mean_response_time() / 2.0;
+                actions.push(Action::Timer { at: next_check, token: (id << 2) + TIMER_OVERDUE });
             }
         }
     }
 
-    fn further(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
-        let Some(server) = self.choose(id) else { return false };
-        let copy = self.requests[&id].attempts.iter().any(|attempt| attempt.out);
-        self.retry_budget -= if copy { COPY_COST } else { 1.0 };
-        self.send(id, server, actions);
+    fn send_another_attempt(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
+        let Some(server) = self.choose_server(id) else { return false };
+        let hedged = self.requests[&id].attempts.iter().any(|attempt| attempt.in_flight);
+        self.retry_budget -= if hedged { HEDGE_COST } else { 1.0 };
+        self.send_attempt(id, server, actions);
         true
     }
 
     fn attempt_ended(&mut self, end: AttemptEnd, actions: &mut Vec<Action>) {
-        let Some(open) = self.requests.get_mut(&end.request) else { return };
-        let Some(attempt) = open.attempts.get_mut(usize::from(end.attempt)) else { return };
-        if !attempt.out {
+        let Some(tracked) = self.requests.get_mut(&end.request) else { return };
+        let Some(attempt) = tracked.attempts.get_mut(usize::from(end.attempt)) else { return };
+        if !attempt.in_flight {
             return;
         }
-        attempt.out = false;
+        attempt.in_flight = false;
         attempt.may_have_run = !end.outcome.never_ran();
-        let (server, sent, request) = (attempt.to.id, attempt.sent, open.request);
+        let (server, sent_at, request) = (attempt.server.id, attempt.sent_at, tracked.request);
         if end.finished {
-            open.done = true;
+            tracked.closed = true;
         }
-        self.fleet.attempt_ended(server, sent);
-        self.judge(request.class, server, &end, actions);
+        self.fleet.attempt_ended(server, sent_at);
+        self.record_outcome(request.class, server, &end, actions);
         let next = self.customers.get_mut(&request.customer).and_then(|customer| {
-            customer.open = customer.open.saturating_sub(1);
-            customer.held.pop_front()
+            customer.in_flight = customer.in_flight.saturating_sub(1);
+            customer.queue.pop_front()
         });
         if let Some(quota_usage) = end.quota_usage {
-            self.read_meter(request.customer, quota_usage);
+            self.apply_reading(request.customer, quota_usage);
         }
-        let open = &self.requests[&end.request];
-        let out = open.attempts.iter().any(|attempt| attempt.out);
-        if open.done {
+        let tracked = &self.requests[&end.request];
+        let in_flight = tracked.attempts.iter().any(|attempt| attempt.in_flight);
+        if tracked.closed {
             if end.outcome == Outcome::Ok {
-                self.call_off(end.request, actions);
+                self.cancel_attempts(end.request, actions);
             }
-        } else if !out {
-            let again = end.outcome != Outcome::InvalidRequest && self.may_try_again(open);
-            if !(again && self.further(end.request, actions)) {
-                self.give_up(end.request, actions);
+        } else if !in_flight {
+            let retry = end.outcome != Outcome::InvalidRequest && self.may_send_another(tracked);
+            if !(retry && self.send_another_attempt(end.request, actions)) {
+                self.end_without_response(end.request, actions);
             }
         }
-        self.forget_if_over(end.request);
+        self.remove_if_finished(end.request);
         if let Some(next) = next.filter(|next| self.requests.contains_key(next)) {
             self.dispatch(next, actions);
         }
     }
 
-    /// Final answer without a server's: a refusal where nothing can have run, else a failure.
-    fn give_up(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(open) = self.requests.get(&id).filter(|open| !open.done) else { return };
-        if open.attempts.iter().all(|attempt| !attempt.may_have_run) {
+    /// Gives the final answer without a response: a refusal if no attempt can have run, else a failure.
+    fn end_without_response(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(tracked) = self.requests.get(&id).filter(|tracked| !tracked.closed) else { return };
+        if tracked.attempts.iter().all(|attempt| !attempt.may_have_run) {
             self.refuse(id, 0.0, RefusalReason::NoAttemptRan, actions);
         } else {
             actions.push(Action::Fail(id));
-            self.call_off(id, actions);
+            self.cancel_attempts(id, actions);
             self.close(id);
         }
     }
 
-    fn call_off(&self, id: RequestId, actions: &mut Vec<Action>) {
-        let out = self.requests[&id].attempts.iter().enumerate().filter(|(_, attempt)| attempt.out);
-        let cancels = out.map(|(n, _)| Action::Cancel { request: id, attempt: n as u8 });
+    /// Cancels the attempts that are still in flight, where the settings allow it.
+    fn cancel_attempts(&self, id: RequestId, actions: &mut Vec<Action>) {
+        let in_flight =
+            self.requests[&id].attempts.iter().enumerate().filter(|(_, attempt)| attempt.in_flight);
+        let cancels = in_flight.map(|(n, _)| Action::Cancel { request: id, attempt: n as u8 });
         actions.extend(cancels.filter(|_| self.settings.may_cancel));
     }
 
@@ -754,30 +907,38 @@
         self.close(id);
     }
 
+    /// Marks a request as needing no answer any more, and takes it out of its customer's queue.
     fn close(&mut self, id: RequestId) {
-        let Some(open) = self.requests.get_mut(&id) else { return };
-        open.done = true;
-        if open.held {
-            if let Some(customer) = self.customers.get_mut(&open.request.customer) {
-                customer.held.retain(|other| *other != id);
+        let Some(tracked) = self.requests.get_mut(&id) else { return };
+        tracked.closed = true;
+        if tracked.queued {
+            if let Some(customer) = self.customers.get_mut(&tracked.request.customer) {
+                customer.queue.retain(|other| *other != id);
             }
         }
-        self.forget_if_over(id);
+        self.remove_if_finished(id);
     }
 
-    fn forget_if_over(&mut self, id: RequestId) {
-        if self.requests.get(&id).is_some_and(|open| open.done && open.attempts.iter().all(|a| !a.out)) {
+    fn remove_if_finished(&mut self, id: RequestId) {
+        if self
+            .requests
+            .get(&id)
+            .is_some_and(|tracked| tracked.closed && tracked.attempts.iter().all(|a| !a.in_flight))
+        {
             self.requests.remove(&id);
             self.counter_limits.release(self.now, id);
         }
     }
 
-    /// Takes in the list of servers, or changes to it.
+    /// Applies the server list or changes to it. Where the list is delivered on request, subscribes to it
+    /// after a cached one and, one second later, after a failure.
     fn update_servers(&mut self, kind: ListKind, entries: Vec<ServerEntry>, actions: &mut Vec<Action>) {
         if self.settings.list_on_request {
             match kind {
                 ListKind::Cached => actions.push(Action::WatchServers),
-                ListKind::Failed => actions.push(Action::Timer { at: self.now + 1000.0, token: LIST }),
+                ListKind::Failed => {
+                    actions.push(Action::Timer { at: self.now + 1000.0, token: TIMER_LIST_RETRY })
+                }
                 _ => {}
             }
         }
@@ -785,77 +946,96 @@
             return;
         }
         self.fleet.apply_list(self.settings.ordinal, self.now, kind, entries);
-        self.idle_part = IDLE * self.fleet.ready() as f64 / f64::from(self.settings.gateways);
-        self.limit = self.limit.max(self.idle_part);
+        self.queue_free_attempts =
+            QUEUE_FREE_PER_SERVER * self.fleet.ready() as f64 / f64::from(self.settings.gateways);
+        self.in_flight_limit = self.in_flight_limit.max(self.queue_free_attempts);
     }
 }
 
 impl Customer {
-    /// Rates at which the other gateways send and are offered, filled up with what is usual in the plan.
-    fn elsewhere(&self, plan: &Plan, usual: (f64, f64), fade: f64) -> (f64, f64) {
-        let prior = PRIOR_UNITS / plan.rate;
-        let own = self.heard / (self.spread - 1.0).max(f64::MIN_POSITIVE);
-        let seconds = prior + self.watched * fade;
-        let sent = (PRIOR_UNITS * usual.0 + self.sent_elsewhere * fade) / seconds;
-        let offers = PRIOR_UNITS * usual.1 + self.offered_elsewhere * fade + self.offered_here;
-        (sent, offers / (seconds + own))
+    /// Rates in units per second at which the other gateways send and are offered this customer's requests.
+    /// Combines faded readings with the plan's average use as a prior; the offered rate also takes the rate
+    /// offered here as a sample of that at each other gateway.
+    fn rates_elsewhere(&self, plan: &Plan, plan_use: (f64, f64), fade: f64) -> (f64, f64) {
+        let prior = PLAN_PRIOR_UNITS / plan.rate;
+        let local = self.local_seconds / (self.spread - 1.0).max(f64::MIN_POSITIVE);
+        let seconds = prior + self.reading_seconds * fade;
+        let sent = (PLAN_PRIOR_UNITS * plan_use.0 + self.units_sent_elsewhere * fade) / seconds;
+        let offered =
+            PLAN_PRIOR_UNITS * plan_use.1 + self.units_offered_elsewhere * fade + self.local_offered_units;
+        (sent, offered / (seconds + local))
     }
 
-    fn sent(&self, from: Millis, to: Millis) -> f64 {
-        self.sends.iter().filter(|(at, _)| *at > from && *at <= to).map(|(_, units)| units).sum()
+    /// Units sent from here after `from` and up to `to`.
+    fn units_sent(&self, from: Millis, to: Millis) -> f64 {
+        self.recent_sends.iter().filter(|(at, _)| *at > from && *at <= to).map(|(_, units)| units).sum()
     }
 
-    /// Units that other gateways have likely sent in a surge of which no reading tells yet.
-    fn unseen(&self, plan: &Plan, now: Millis, delay: f64) -> f64 {
-        let even = plan.rate * (now - self.told) / 1000.0 / self.spread;
-        SURGE * delay * (self.spread - 1.0) * (self.sent(self.told, now) - even).max(0.0)
+    /// Units that the other gateways have probably sent in a surge that no reading covers yet. `delay` is
+    /// the meter's, in periods.
+    fn unseen_surge(&self, plan: &Plan, now: Millis, delay: f64) -> f64 {
+        let even = plan.rate * (now - self.bucket_at) / 1000.0 / self.spread;
+        UNSEEN_SURGE_FACTOR
+            * delay
+            * (self.spread - 1.0)
+            * (self.units_sent(self.bucket_at, now) - even).max(0.0)
     }
 
-    /// How little of the customer's traffic shows here, from nought where no other gateway has a part in it.
-    fn dark(&self) -> f64 {
-        (self.spread - 1.0) / (self.spread - 1.0 + OTHERS)
+    /// Fraction of the customer's traffic that counts as unseen here, 0 if all of it comes through here.
+    fn unseen_fraction(&self) -> f64 {
+        (self.spread - 1.0) / (self.spread - 1.0 + HALF_UNSEEN_GATEWAYS)
     }
 
-    /// How much of the readings still counts: they fade over some units of the quota, or gaps between them.
-    fn fade(&self, plan: &Plan, now: Millis) -> f64 {
-        let memory = RATE_UNITS * (1.0 / plan.rate).max(self.reading_gap);
-        self.reading_at.map_or(0.0, |at| (-(now - at) / 1000.0 / memory).exp())
+    /// Weight that earlier readings still have, from 0 to 1. It fades over `RATE_WINDOW_UNITS` units of the
+    /// quota, or as many gaps between readings if those are longer.
+    fn reading_weight(&self, plan: &Plan, now: Millis) -> f64 {
+        let memory = RATE_WINDOW_UNITS * (1.0 / plan.rate).max(self.mean_reading_gap);
+        self.last_reading_at.map_or(0.0, |at| (-(now - at) / 1000.0 / memory).exp())
     }
 
-    /// Content of the store at a later time: the quota flows in, own sends and others' likely ones flow out.
-    fn content(&self, plan: &Plan, usual: (f64, f64), now: Millis, at: Millis) -> f64 {
-        let flow = plan.rate - self.elsewhere(plan, usual, self.fade(plan, now)).0;
-        (self.store + flow * (at - self.told) / 1000.0 - self.sent(self.told, at)).clamp(0.0, plan.burst)
+    /// The bucket's content at `at`: filled by the quota, drained by sends from here and by the estimated
+    /// ones from other gateways.
+    fn bucket_content(&self, plan: &Plan, plan_use: (f64, f64), now: Millis, at: Millis) -> f64 {
+        let flow = plan.rate - self.rates_elsewhere(plan, plan_use, self.reading_weight(plan, now)).0;
+        (self.bucket + flow * (at - self.bucket_at) / 1000.0 - self.units_sent(self.bucket_at, at))
+            .clamp(0.0, plan.burst)
     }
 
-    fn advance(&mut self, plan: &Plan, usual: (f64, f64), now: Millis, to: Millis) {
-        if to > self.told {
-            self.store = self.content(plan, usual, now, to);
-            self.told = to;
+    /// Advances the bucket to `to`, unless readings have settled a later time already.
+    fn advance_bucket(&mut self, plan: &Plan, plan_use: (f64, f64), now: Millis, to: Millis) {
+        if to > self.bucket_at {
+            self.bucket = self.bucket_content(plan, plan_use, now, to);
+            self.bucket_at = to;
         }
     }
 
-    /// Settles, and drops, what is too old for a reading to tell of.
-    fn settle(&mut self, plan: &Plan, usual: (f64, f64), now: Millis, reach: Millis) {
-        let keep = now - reach;
-        self.advance(plan, usual, now, keep);
-        while self.sends.front().is_some_and(|(at, _)| *at < keep) {
-            self.sends.pop_front();
+    /// Settles in the bucket, and drops, what is older than `span` and so not covered by later readings.
+    fn expire_history(&mut self, plan: &Plan, plan_use: (f64, f64), now: Millis, span: Millis) {
+        let oldest = now - span;
+        self.advance_bucket(plan, plan_use, now, oldest);
+        while self.recent_sends.front().is_some_and(|(at, _)| *at < oldest) {
+            self.recent_sends.pop_front();
         }
-        while self.chances.len() > 1 && self.chances[1].0 < keep {
-            self.chances.pop_front();
+        while self.chance_history.len() > 1 && self.chance_history[1].0 < oldest {
+            self.chance_history.pop_front();
         }
     }
 
-    fn set_chance(&mut self, plan: &Plan, usual: (f64, f64), now: Millis, period: Millis) {
-        let (_, elsewhere) = self.elsewhere(plan, usual, self.fade(plan, now));
-        let offered = self.offered_here / self.heard.max(RATE_UNITS / plan.rate) + elsewhere;
-        // The store is let out over some readings, so that the coin, by worth, refuses before it is empty.
-        let span = RELEASE * period / 1000.0;
-        let aim = 1.0 / (1.0 + CAUTION * plan.excess_cost * self.dark());
-        let allowed = aim * (plan.rate + self.content(plan, usual, now, now) / span.max(self.reading_gap));
-        self.chance = if offered > allowed { (allowed / offered).max(CHANCE_FLOOR) } else { 1.0 };
-        self.chance_set = now;
-        self.chances.push_back((now, self.chance));
+    /// Sets the admission chance to the allowed rate divided by the offered one.
+    fn update_chance(&mut self, plan: &Plan, plan_use: (f64, f64), now: Millis, period: Millis) {
+        let (_, elsewhere) = self.rates_elsewhere(plan, plan_use, self.reading_weight(plan, now));
+        let offered =
+            self.local_offered_units / self.local_seconds.max(RATE_WINDOW_UNITS / plan.rate) + elsewhere;
+        // Releases the bucket's content over several readings, so that the random refusal, which goes by
+        // worth, sets in before the bucket is empty.
+        let release = BURST_RELEASE_PERIODS * period / 1000.0;
+        let target = 1.0 / (1.0 + EXCESS_CAUTION * plan.excess_cost * self.unseen_fraction());
+        let allowed = target
+            * (plan.rate
+                + self.bucket_content(plan, plan_use, now, now) / release.max(self.mean_reading_gap));
+        self.admission_chance =
+            if offered > allowed { (allowed / offered).max(MIN_ADMISSION_CHANCE) } else { 1.0 };
+        self.chance_set_at = now;
+        self.chance_history.push_back((now, self.admission_chance));
     }
 }
