--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -241,7 +241,7 @@
     slow_start: bool,
     /// By class, the time limit of first requests in ms, and by how many requests it leads the others.
     first_time_limit: Vec<(Millis, u32)>,
-    /// Further attempts that may still be sent.
+    /// Further attempts that may still be sent; a hedged one takes `HEDGE_COST` of them.
     retry_budget: f64,
 }
 
@@ -492,7 +492,7 @@
         }
         customer.local_offered_units += request.units;
         if customer.bucket_content(&plan, plan_use, now, now)
-            < customer.unseen_surge(&plan, now, self.meter.delay())
+            < customer.unseen_surge(&plan, now, self.meter.delay_periods())
         {
             return MIN_ADMISSION_CHANCE;
         }
