--- a/src/meter.rs
+++ b/src/meter.rs
@@ -14,7 +14,7 @@
 /// Longest delay that is considered, in periods. If lower, the readings of a slower meter are taken for
 /// the wrong period; if higher, each reading takes more time and sends are kept longer.
 const MAX_DELAY_PERIODS: usize = 4;
-/// The same in steps. It follows from the two above: if it did not, the learned end and delay would be wrong.
+/// Longest delay in steps. It has to be the product of the two above.
 const DELAY_STEPS: usize = STEPS_PER_PERIOD * MAX_DELAY_PERIODS;
 /// Delay that is assumed before there are readings, in periods. The further it is from the true delay, above
 /// or below, the more readings it takes to learn that one.
