--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -1,17 +1,18 @@
-//! Overload within the quotas.
+//! Overload of the servers by customers that are within their quotas.
 
 mod common;
 
 use common::*;
 use springusher::*;
 
-/// Asks `count` times at once and returns how many went out and how many were refused.
+/// Sends `count` requests at once and returns how many were forwarded and how many refused.
 fn burst(host: &mut TestHost, count: usize, class: usize) -> (usize, usize) {
     let replies: Vec<_> = (0..count).map(|_| host.new_request(1, 3, class).1).collect();
-    let out = replies.iter().filter(|actions| !sends(actions).is_empty()).count();
-    (out, replies.iter().filter(|actions| refused(actions)).count())
+    let forwarded = replies.iter().filter(|actions| !sends(actions).is_empty()).count();
+    (forwarded, replies.iter().filter(|actions| refused(actions)).count())
 }
 
+/// Ends the request's first attempt successfully after `elapsed`.
 fn answer(host: &mut TestHost, request: RequestId, elapsed: f64) {
     let (outcome, finished, quota_usage) = (Outcome::Ok, true, None);
     host.event(Event::AttemptEnd(AttemptEnd {
@@ -24,102 +25,108 @@
     }));
 }
 
-/// Asks every 10 ms for `seconds`, classes in turn, each answer coming after `elapsed`; returns how many of
-/// each class went out in the second half.
-fn answered_after(host: &mut TestHost, classes: &[usize], elapsed: f64, seconds: f64) -> Vec<usize> {
-    let mut out = vec![0; 3];
-    let mut hand = std::collections::VecDeque::new();
+/// Sends a request every 10 ms for `seconds`, with the classes in turn, each response coming after `elapsed`. Returns
+/// how many of each class were forwarded in the second half of the time.
+fn send_with_response_time(host: &mut TestHost, classes: &[usize], elapsed: f64, seconds: f64) -> Vec<usize> {
+    let mut forwarded = vec![0; 3];
+    let mut in_flight = std::collections::VecDeque::new();
     let half = host.now + seconds * 500.0;
     for step in 0..(seconds * 100.0) as usize {
         host.now += 10.0;
-        while hand.front().is_some_and(|(_, at)| *at <= host.now) {
-            let (id, _) = hand.pop_front().expect("not empty");
+        while in_flight.front().is_some_and(|(_, at)| *at <= host.now) {
+            let (id, _) = in_flight.pop_front().expect("not empty");
             answer(host, id, elapsed);
         }
         let class = classes[step % classes.len()];
         let (id, actions) = host.new_request(1, 3, class);
         if !sends(&actions).is_empty() {
-            out[class] += usize::from(host.now > half);
-            hand.push_back((id, host.now + elapsed));
+            forwarded[class] += usize::from(host.now > half);
+            in_flight.push_back((id, host.now + elapsed));
         }
     }
     host.now += elapsed;
-    for (id, _) in hand {
+    for (id, _) in in_flight {
         answer(host, id, elapsed);
     }
-    out
+    forwarded
 }
 
 #[test]
-fn overload_ends_in_early_refusals() {
+fn late_responses_lead_to_early_refusals() {
     let mut host = TestHost::new(settings(), &[server(1), server(2)]);
-    let out = answered_after(&mut host, &[0], 900.0, 20.0)[0];
-    assert!(out > 0 && out < 100, "{out} of 1000 let in though all answers are late");
+    let forwarded = send_with_response_time(&mut host, &[0], 900.0, 20.0)[0];
+    assert!(
+        forwarded > 0 && forwarded < 100,
+        "{forwarded} of 1000 requests forwarded though all responses are late"
+    );
 }
 
 #[test]
-fn low_worth_is_refused_before_high_worth() {
+fn low_worth_is_refused_before_high_worth_under_overload() {
     let mut host = TestHost::new(settings(), &[server(1), server(2)]);
-    let out = answered_after(&mut host, &[0, 1], 900.0, 20.0);
-    assert!(out[0] > 2 * out[1], "{out:?} of high and low worth let in");
+    let forwarded = send_with_response_time(&mut host, &[0, 1], 900.0, 20.0);
+    assert!(forwarded[0] > 2 * forwarded[1], "requests of high and of low worth forwarded: {forwarded:?}");
 }
 
 #[test]
-fn a_surge_is_bounded_before_its_late_answers_are_in() {
+fn a_surge_is_limited_before_its_late_responses_arrive() {
     let servers: Vec<_> = (1..=4).map(server).collect();
     let mut host = TestHost::new(settings(), &servers);
-    answered_after(&mut host, &[0], 50.0, 5.0);
-    let (out, refused) = burst(&mut host, 1000, 0);
-    assert!(out > 8 && out < 60, "{out} out at once, {refused} refused");
+    send_with_response_time(&mut host, &[0], 50.0, 5.0);
+    let (forwarded, refused) = burst(&mut host, 1000, 0);
+    assert!(forwarded > 8 && forwarded < 60, "{forwarded} requests forwarded at once, {refused} refused");
 }
 
 #[test]
-fn with_full_queues_few_of_thousands_of_retries_are_let_in() {
+fn few_of_thousands_of_retries_are_forwarded_to_overloaded_servers() {
     let servers: Vec<_> = (1..=4).map(server).collect();
     let mut host = TestHost::new(Settings { max_attempts: 1, ..settings() }, &servers);
-    let mut out = 0;
+    let mut forwarded = 0;
     for step in 0..20_000 {
         host.now += 1.0;
         let (id, actions) = host.new_request(1, 3, 0);
         if !sends(&actions).is_empty() {
-            out += u32::from(step > 10_000);
+            forwarded += u32::from(step > 10_000);
             host.end(id, 0, Outcome::Overloaded, None);
         }
     }
-    assert!(out > 0 && out < 300, "{out} of 10000 sent to full queues");
+    assert!(
+        forwarded > 0 && forwarded < 300,
+        "{forwarded} of 10000 requests forwarded to overloaded servers"
+    );
 }
 
 #[test]
-fn a_surge_that_has_passed_does_not_keep_the_door_closed() {
+fn requests_are_admitted_again_after_a_surge_has_passed() {
     let mut host = TestHost::new(settings(), &[server(1), server(2)]);
-    let mut taken = Vec::new();
+    let mut in_flight = Vec::new();
     for _ in 0..30 {
         let (id, actions) = host.new_request(1, 3, 1);
         if !sends(&actions).is_empty() {
-            taken.push(id);
+            in_flight.push(id);
         }
     }
     host.now += 3000.0;
-    for id in taken {
+    for id in in_flight {
         answer(&mut host, id, 3000.0);
     }
-    let mut out = 0;
+    let mut forwarded = 0;
     for _ in 0..50 {
         host.now += 100.0;
         let (id, actions) = host.new_request(1, 3, 0);
-        out += sends(&actions).len();
+        forwarded += sends(&actions).len();
         host.end(id, 0, Outcome::Ok, None);
     }
-    assert_eq!(out, 50);
+    assert_eq!(forwarded, 50);
 }
 
 #[test]
-fn long_answers_alone_do_not_shut_the_door() {
+fn late_responses_alone_do_not_block_admission_to_idle_servers() {
     let servers: Vec<_> = (1..=8).map(server).collect();
     let mut host = TestHost::new(settings(), &servers);
-    // 2.5 s in a jam are learned as the time of an answer; every new try would be past its aim of 1 s.
-    answered_after(&mut host, &[0], 2500.0, 60.0);
+    // The gateway learns a response time of 2.5 s under overload, so no new request could meet its target of 1 s.
+    send_with_response_time(&mut host, &[0], 2500.0, 60.0);
     host.now += 5000.0;
-    // Two gateways, eight servers: an own part of eight attempts makes no queue.
+    // With two gateways and eight servers, at least eight attempts from this gateway cause no queue.
     assert!(burst(&mut host, 50, 0).0 >= 6);
 }
