--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -3,7 +3,8 @@
 //!
 //! Admission is distributed rate limiting by random drop: each gateway refuses a customer's requests with
 //! probability 1 - quota / offered rate, the class of the lowest worth first. The rate offered to all
-//! gateways together is estimated from the meter's readings.
+//! gateways together is estimated from the meter's readings: responses carry a customer's usage over all
+//! gateways in one of the latest meter periods.
 
 use crate::counter_limits::{CounterLimits, LimitAnswer};
 use crate::fleet::{Fleet, FleetClock, HEDGE_AFTER};
@@ -61,7 +62,7 @@
 /// lower, requests of low worth pay for the excess of customers that send other classes; if higher, more
 /// requests of high worth are refused.
 const EVEN_REFUSAL_FRACTION: f64 = 0.1;
-/// Time over which this gateway's own observations of a customer fade to 1/e, in units of an even share of
+/// Time over which this gateway's own observations of a customer decay to 1/e, in units of an even share of
 /// the quota. If shorter, too few requests count for an estimate; if longer, it follows changes late.
 const LOCAL_MEMORY_UNITS: f64 = 2.0;
 /// Weight of a new gap between readings in their moving average, from 0 to 1. A higher value overrates single
@@ -181,12 +182,12 @@
     chance_history: VecDeque<(Millis, f64)>,
     /// Time and units of each first attempt that a reading may still cover, oldest first.
     recent_sends: VecDeque<(Millis, f64)>,
-    /// Units offered at this gateway and seconds of observation. Both fade, last at `local_faded_at`.
+    /// Units offered at this gateway and seconds of observation. Both decay, last at `local_decayed_at`.
     local_offered_units: f64,
     local_seconds: f64,
-    local_faded_at: Millis,
+    local_decayed_at: Millis,
     /// Seconds that readings covered, and units that the other gateways sent and were offered in that time.
-    /// All three fade, last at `last_reading_at`.
+    /// All three decay, last at `last_reading_at`.
     reading_seconds: f64,
     units_sent_elsewhere: f64,
     units_offered_elsewhere: f64,
@@ -231,7 +232,8 @@
     /// Fraction of the requests within the quotas that the servers have capacity for, and its last change.
     capacity_share: f64,
     capacity_share_at: Millis,
-    /// Attempts in flight up to which the capacity share is ignored; see `QUEUE_FREE_PER_SERVER`.
+    /// Attempts in flight up to which the capacity share and the in-flight limit are ignored; see
+    /// `QUEUE_FREE_PER_SERVER`.
     queue_free_attempts: f64,
     /// When a server last turned a request away as overloaded.
     last_overload_at: Millis,
@@ -343,7 +345,7 @@
             closed: false,
         };
         self.requests.insert(request.id, tracked);
-        // Answers before the client gives up; the margin of two ticks is for the answer's way to the client.
+        // Answers before the client gives up; the margin of two ticks lets the answer reach it.
         let at = self.now + (expires_in - 2.0 * self.settings.tick).max(0.0);
         actions.push(Action::Timer { at, token: (request.id << 2) + TIMER_DEADLINE });
         let known = request.class < self.settings.classes.len() && request.plan < self.settings.plans.len();
@@ -464,7 +466,7 @@
             last_period_end: f64::NEG_INFINITY,
             admission_chance: 1.0,
             chance_set_at: f64::NEG_INFINITY,
-            local_faded_at: started_at,
+            local_decayed_at: started_at,
             mean_reading_gap: spread / plan.rate.max(f64::MIN_POSITIVE),
             ceiling_filled_at: started_at,
             ..Customer::default()
@@ -481,10 +483,10 @@
         if plan.rate <= 0.0 {
             return 1.0;
         }
-        let seconds = (now - customer.local_faded_at) / 1000.0;
-        let fade = (-seconds * plan.rate / (LOCAL_MEMORY_UNITS * customer.spread)).exp();
-        customer.local_offered_units *= fade;
-        (customer.local_seconds, customer.local_faded_at) = (customer.local_seconds * fade + seconds, now);
+        let seconds = (now - customer.local_decayed_at) / 1000.0;
+        let decay = (-seconds * plan.rate / (LOCAL_MEMORY_UNITS * customer.spread)).exp();
+        customer.local_offered_units *= decay;
+        (customer.local_seconds, customer.local_decayed_at) = (customer.local_seconds * decay + seconds, now);
         let plan_use = self.plan_use[request.plan];
         customer.expire_history(&plan, plan_use, now, self.meter.history_span());
         if now >= customer.chance_set_at + period {
@@ -528,26 +530,26 @@
         if let Some(at) = customer.last_reading_at {
             update_average(&mut customer.mean_reading_gap, (now - at) / 1000.0, READING_GAP_WEIGHT);
         }
-        let fade = customer.reading_weight(&plan, now);
+        let decay = customer.reading_weight(&plan, now);
         customer.last_reading_at = Some(now);
         // The units offered elsewhere are those sent there, divided by the chance in mid-period.
         let earlier = customer.chance_history.iter().rev().find(|(at, _)| *at <= period_end - period / 2.0);
         let chance = earlier.or(customer.chance_history.front()).map_or(1.0, |earlier| earlier.1);
         let elsewhere = units - customer.units_sent(period_end - period, period_end);
         let prior = PLAN_PRIOR_UNITS / plan.rate;
-        let weight = SAMPLE_WEIGHT * prior / (prior + customer.reading_seconds * fade);
-        customer.reading_seconds = customer.reading_seconds * fade + period / 1000.0;
-        customer.units_sent_elsewhere = (customer.units_sent_elsewhere * fade + elsewhere).max(0.0);
+        let weight = SAMPLE_WEIGHT * prior / (prior + customer.reading_seconds * decay);
+        customer.reading_seconds = customer.reading_seconds * decay + period / 1000.0;
+        customer.units_sent_elsewhere = (customer.units_sent_elsewhere * decay + elsewhere).max(0.0);
         customer.units_offered_elsewhere =
-            (customer.units_offered_elsewhere * fade + elsewhere / chance).max(0.0);
+            (customer.units_offered_elsewhere * decay + elsewhere / chance).max(0.0);
         update_average(&mut plan_use.0, quota_usage, weight);
         update_average(&mut plan_use.1, quota_usage / chance, weight);
         customer.update_chance(&plan, *plan_use, now, period);
     }
 
-    /// Adapts the capacity share and the in-flight limit to one response, or to one that is overdue; under
-    /// overload within the quotas the lowest worth is then refused early. The share changes in proportion
-    /// to the time since the last response, so that it moves alike with few gateways and with many.
+    /// Adapts the capacity share and the in-flight limit to one response, or to one that is overdue, so that
+    /// under overload within the quotas requests of low worth are refused early. The share changes in
+    /// proportion to the time since the last response, and so at the same pace with few gateways and many.
     fn adapt_to_load(&mut self, class: usize, timely: bool) {
         let target = self.settings.classes[class].latency_target;
         let weight = ((self.now - self.capacity_share_at) / target).min(MAX_RESPONSE_WEIGHT);
@@ -954,15 +956,15 @@
 
 impl Customer {
     /// Rates in units per second at which the other gateways send and are offered this customer's requests.
-    /// Combines faded readings with the plan's average use as a prior; the offered rate also takes the rate
+    /// Combines decayed readings with the plan's average use as a prior; the offered rate also takes the rate
     /// offered here as a sample of that at each other gateway.
-    fn rates_elsewhere(&self, plan: &Plan, plan_use: (f64, f64), fade: f64) -> (f64, f64) {
+    fn rates_elsewhere(&self, plan: &Plan, plan_use: (f64, f64), decay: f64) -> (f64, f64) {
         let prior = PLAN_PRIOR_UNITS / plan.rate;
         let local = self.local_seconds / (self.spread - 1.0).max(f64::MIN_POSITIVE);
-        let seconds = prior + self.reading_seconds * fade;
-        let sent = (PLAN_PRIOR_UNITS * plan_use.0 + self.units_sent_elsewhere * fade) / seconds;
+        let seconds = prior + self.reading_seconds * decay;
+        let sent = (PLAN_PRIOR_UNITS * plan_use.0 + self.units_sent_elsewhere * decay) / seconds;
         let offered =
-            PLAN_PRIOR_UNITS * plan_use.1 + self.units_offered_elsewhere * fade + self.local_offered_units;
+            PLAN_PRIOR_UNITS * plan_use.1 + self.units_offered_elsewhere * decay + self.local_offered_units;
         (sent, offered / (seconds + local))
     }
 
@@ -986,15 +988,15 @@
         (self.spread - 1.0) / (self.spread - 1.0 + HALF_UNSEEN_GATEWAYS)
     }
 
-    /// Weight that earlier readings still have, from 0 to 1. It fades over `RATE_WINDOW_UNITS` units of the
-    /// quota, or as many gaps between readings if those are longer.
+    /// Weight that earlier readings still have, from 0 to 1. It decays to 1/e over the time of
+    /// `RATE_WINDOW_UNITS` units of the quota, or of as many gaps between readings if that is longer.
     fn reading_weight(&self, plan: &Plan, now: Millis) -> f64 {
         let memory = RATE_WINDOW_UNITS * (1.0 / plan.rate).max(self.mean_reading_gap);
         self.last_reading_at.map_or(0.0, |at| (-(now - at) / 1000.0 / memory).exp())
     }
 
-    /// The bucket's content at `at`: filled by the quota, drained by sends from here and by the estimated
-    /// ones from other gateways.
+    /// The bucket's content at `at`: filled by the quota, and drained by sends from here and by the estimated
+    /// sends from other gateways.
     fn bucket_content(&self, plan: &Plan, plan_use: (f64, f64), now: Millis, at: Millis) -> f64 {
         let flow = plan.rate - self.rates_elsewhere(plan, plan_use, self.reading_weight(plan, now)).0;
         (self.bucket + flow * (at - self.bucket_at) / 1000.0 - self.units_sent(self.bucket_at, at))
@@ -1009,7 +1011,7 @@
         }
     }
 
-    /// Settles in the bucket, and drops, what is older than `span` and so not covered by later readings.
+    /// Advances the bucket to `span` ago and drops older sends and chances, which no reading covers any more.
     fn expire_history(&mut self, plan: &Plan, plan_use: (f64, f64), now: Millis, span: Millis) {
         let oldest = now - span;
         self.advance_bucket(plan, plan_use, now, oldest);
