--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -1,42 +1,61 @@
-//! Which server an attempt goes to: what is known of the servers, their health, and the choice among them.
+//! The servers of the fleet as this gateway sees them: their state and health, and the choice of a server for
+//! each attempt.
 
 use crate::interface::*;
 use oorandom::Rand64;
 use std::collections::BTreeMap;
 
-/// A server silent for so many mean answer times, with work of ours in hand, is taken to hang.
+/// Time without a response after which a server with attempts in flight counts as hung, in mean response
+/// times. Lower cancels attempts at servers that are merely slow; higher leaves requests waiting for it.
 pub(crate) const HUNG_AFTER: f64 = 4.0;
-/// An attempt out for so many mean answer times may get a further one.
+/// Age at which an attempt in flight may be hedged, in mean response times. Lower adds load through needless
+/// attempts; higher lets the hedge start too late to help. An ejection lasts at least this long, too.
 pub(crate) const HEDGE_AFTER: f64 = 3.0;
-/// Weight of a new answer in a server's pace: about the last 10 of them count.
-const SAMPLE: f64 = 0.1;
-/// Mean answer times after which what was learned of a server's pace has faded to a third.
-const FADE: f64 = 20.0;
-/// Failures in a row that eject a server.
-const STRIKES: u32 = 3;
-/// Part of the allowance for a cold server that is used: the rest covers unlike requests and gateways.
-const COLD_MARGIN: f64 = 0.7;
-/// Cost of a server in another zone, as a factor: breaks near ties only.
-const FAR: f64 = 1.1;
-/// Pace of a server below which being faster counts no more: a lucky run must not draw all the work.
-const LEAST_PACE: f64 = 0.2;
-/// Spread of the random part of a cost: enough to part equals, too little to overrule a difference.
-const TIE: f64 = 0.1;
-/// Gateways that keep to a server, on average: so many even out what each of them sends it.
-const GATEWAYS_A_SERVER: f64 = 12.0;
-/// Servers that a gateway keeps to at the least: with fewer, one that is slow or lost would be felt.
-const LEAST_SUBSET: f64 = 8.0;
-/// Cost of a server outside the own subset, as a factor: one more attempt in hand, and work goes there.
-const OUTSIDE: f64 = 2.0;
+/// Weight of a new sample in a server's average slowness (dimensionless): about the last 10 responses count.
+/// Higher lets single responses decide; lower notices a server that slows down too late.
+const SAMPLE_WEIGHT: f64 = 0.1;
+/// Time, in mean response times, in which a measured slowness decays to a third of its distance from the
+/// mean. Shorter sends traffic back to a slow server too soon; longer avoids a recovered server for long.
+const SLOWNESS_DECAY: f64 = 20.0;
+/// Number of failures in a row that eject a server. Lower ejects healthy servers over chance failures; higher
+/// sends more requests to a server that fails.
+const FAILURES_TO_EJECT: u32 = 3;
+/// Share of `Settings::overload_multiple` up to which servers in slow start are loaded (dimensionless); the
+/// rest covers differences between requests and between gateways. Higher risks that a cold server collapses;
+/// lower leaves capacity unused while most of the fleet is in slow start.
+const COLD_LOAD_SHARE: f64 = 0.7;
+/// Factor on the cost of a server in another zone. It only breaks near ties: higher queues requests in the
+/// own zone while servers elsewhere are idle, and 1 sends as much traffic to other zones as to the own one.
+const OTHER_ZONE_COST: f64 = 1.1;
+/// Lower bound on the slowness that the choice assumes, as a multiple of the mean response time. Lower lets a
+/// server attract all requests after a few fast responses by chance; higher ignores that a server is fast.
+const MIN_SLOWNESS: f64 = 0.2;
+/// Range of the random part of a cost, as a share of the cost. Lower makes all gateways choose the same one
+/// of several equal servers; higher overrides real differences between servers.
+const COST_JITTER: f64 = 0.1;
+/// Mean number of gateways with the same server in their subset. Fewer loads the servers unevenly, as what
+/// the gateways send no longer averages out; more needs more connections, each of them used less.
+const GATEWAYS_PER_SERVER: f64 = 12.0;
+/// Least number of servers in a gateway's subset. With fewer, one slow or lost server affects much of the
+/// gateway's traffic; more needs more connections, each of them used less.
+const MIN_SUBSET: f64 = 8.0;
+/// Factor on the cost of a server outside the subset. At 2, requests leave the subset once its servers have
+/// one attempt in flight more than idle servers outside it. Lower needs more connections; higher queues
+/// requests in the subset while other servers are idle.
+const OUTSIDE_SUBSET_COST: f64 = 2.0;
 
 #[derive(Debug)]
 struct Server {
     entry: ServerEntry,
-    out: Vec<Millis>,
+    /// Times at which the attempts in flight were sent, the oldest first.
+    in_flight: Vec<Millis>,
+    /// Average duration of its attempts relative to the mean of their class, as of `slowness_at`.
     slowness: f64,
-    judged: Millis,
-    answered: Millis,
-    strikes: u32,
+    slowness_at: Millis,
+    /// Time of its last response.
+    last_response: Millis,
+    /// Number of failures since its last success.
+    failures_in_row: u32,
     ejected_until: Millis,
 }
 
@@ -46,16 +65,17 @@
     pub mean_response_time: Millis,
 }
 
-/// The servers that the list names, and those gone from it that still hold work of ours.
+/// The listed servers, and removed ones that still have attempts of this gateway in flight.
 #[derive(Debug, Default)]
 pub(crate) struct Fleet {
     servers: BTreeMap<ServerId, Server>,
-    /// The ready ones, in an order of this gateway's own: it keeps to the first that are fit.
+    /// The ready servers, in an order that differs between gateways. The first that are healthy and warmed up
+    /// form the subset.
     preference: Vec<ServerId>,
 }
 
-/// A number that looks drawn by lot and is always the same for the same pair: SplitMix64's finish.
-fn scatter(gateway: u32, server: ServerId) -> u64 {
+/// Hash of a gateway and a server by the finalizer of SplitMix64: orders the servers differently per gateway.
+fn gateway_server_hash(gateway: u32, server: ServerId) -> u64 {
     let mut mixed = ((u64::from(gateway) << 32) | u64::from(server)).wrapping_add(0x9e37_79b9_7f4a_7c15);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -76,11 +96,11 @@
     }
 
     pub fn sent_after(&self, since: Millis) -> usize {
-        let sent = |server: &Server| server.out.iter().filter(|at| **at > since).count();
+        let sent = |server: &Server| server.in_flight.iter().filter(|at| **at > since).count();
         self.servers.values().map(sent).sum()
     }
 
-    /// Follows the server list. A server that drains or is gone gets nothing from this moment on.
+    /// Applies a server list or a change to it. Draining and removed servers get no further attempts.
     pub fn apply_list(&mut self, gateway: u32, now: Millis, kind: ListKind, entries: Vec<ServerEntry>) {
         if kind != ListKind::Delta {
             for server in self.servers.values_mut() {
@@ -88,55 +108,64 @@
             }
         }
         for entry in entries {
-            let (out, strikes) = (Vec::new(), 0);
-            let fresh =
-                Server { entry, out, slowness: 1.0, judged: now, answered: now, strikes, ejected_until: 0.0 };
-            let server = self.servers.entry(entry.id).or_insert(fresh);
+            let (in_flight, failures_in_row) = (Vec::new(), 0);
+            let new_server = Server {
+                entry,
+                in_flight,
+                slowness: 1.0,
+                slowness_at: now,
+                last_response: now,
+                failures_in_row,
+                ejected_until: 0.0,
+            };
+            let server = self.servers.entry(entry.id).or_insert(new_server);
             if entry.started_at.is_some() && entry.started_at != server.entry.started_at {
-                server.strikes = 0;
+                server.failures_in_row = 0;
                 server.ejected_until = 0.0;
                 server.slowness = 1.0;
             }
             server.entry = entry;
         }
-        self.servers.retain(|_, server| server.entry.lifecycle != Lifecycle::Gone || !server.out.is_empty());
+        self.servers
+            .retain(|_, server| server.entry.lifecycle != Lifecycle::Gone || !server.in_flight.is_empty());
         let ready = self.servers.values().filter(|server| server.entry.lifecycle == Lifecycle::Ready);
         self.preference = ready.map(|server| server.entry.id).collect();
-        self.preference.sort_by_cached_key(|id| scatter(gateway, *id));
+        self.preference.sort_by_cached_key(|id| gateway_server_hash(gateway, *id));
     }
 
-    /// The servers to keep to. Guards against every gateway holding connections to every server, each used
-    /// so rarely that it costs a handshake and tells nothing: of many gateways each keeps to its own few.
-    /// They come in the order of their numbers.
+    /// The servers that this gateway prefers, sorted by identifier. With many gateways each uses only a few
+    /// servers: a connection from every gateway to every server would be used so rarely that it costs a
+    /// handshake and says nothing about the server.
     fn subset(&self, settings: &Settings, now: Millis) -> Vec<ServerId> {
-        let share = GATEWAYS_A_SERVER * self.preference.len() as f64 / f64::from(settings.gateways);
-        let fit = |id: &&ServerId| {
+        let share = GATEWAYS_PER_SERVER * self.preference.len() as f64 / f64::from(settings.gateways);
+        let healthy = |id: &&ServerId| {
             let server = self.servers.get(id);
-            server.is_some_and(|s| !Fleet::is_ejected(now, s) && Fleet::warmth(settings, now, s) >= 1.0)
+            server
+                .is_some_and(|s| !Fleet::is_ejected(now, s) && Fleet::warm_up_share(settings, now, s) >= 1.0)
         };
-        let count = share.max(LEAST_SUBSET).ceil() as usize;
-        let mut subset: Vec<ServerId> = self.preference.iter().filter(fit).take(count).copied().collect();
+        let count = share.max(MIN_SUBSET).ceil() as usize;
+        let mut subset: Vec<ServerId> = self.preference.iter().filter(healthy).take(count).copied().collect();
         subset.sort_unstable();
         subset
     }
 
     pub fn attempt_started(&mut self, id: ServerId, now: Millis) {
         if let Some(server) = self.servers.get_mut(&id) {
-            server.out.push(now);
+            server.in_flight.push(now);
         }
     }
 
     pub fn attempt_ended(&mut self, id: ServerId, sent: Millis) {
         let Some(server) = self.servers.get_mut(&id) else { return };
-        if let Some(place) = server.out.iter().position(|at| *at == sent) {
-            server.out.remove(place);
+        if let Some(index) = server.in_flight.iter().position(|at| *at == sent) {
+            server.in_flight.remove(index);
         }
-        if server.out.is_empty() && server.entry.lifecycle == Lifecycle::Gone {
+        if server.in_flight.is_empty() && server.entry.lifecycle == Lifecycle::Gone {
             self.servers.remove(&id);
         }
     }
 
-    fn warmth(settings: &Settings, now: Millis, server: &Server) -> f64 {
+    fn warm_up_share(settings: &Settings, now: Millis, server: &Server) -> f64 {
         match server.entry.started_at {
             Some(at) if settings.warm_up_time > 0.0 && now < at + settings.warm_up_time => {
                 let ramp = ((now - at) / settings.warm_up_time).clamp(0.0, 1.0);
@@ -146,131 +175,140 @@
         }
     }
 
-    /// Time taken against the fleet's mean, to which it fades: a server passed over is tried again.
-    fn slowness(moment: FleetClock, server: &Server) -> f64 {
+    /// Response time relative to the fleet's mean. Decays towards 1, so that an avoided server is tried
+    /// again.
+    fn slowness(clock: FleetClock, server: &Server) -> f64 {
         if server.slowness == 1.0 {
-            // Most servers of a large fleet are never asked from here.
+            // Skips the exponential: in a large fleet most servers never got an attempt from this gateway.
             return 1.0;
         }
-        let age = (moment.now - server.judged).max(0.0) / moment.mean_response_time.max(1.0);
-        1.0 + (server.slowness - 1.0) * (-age / FADE).exp()
+        let age = (clock.now - server.slowness_at).max(0.0) / clock.mean_response_time.max(1.0);
+        1.0 + (server.slowness - 1.0) * (-age / SLOWNESS_DECAY).exp()
     }
 
-    /// Mean answer times for which a server that holds work of ours has said nothing.
-    fn silence(moment: FleetClock, server: &Server) -> f64 {
-        let Some(oldest) = server.out.first() else { return 0.0 };
-        (moment.now - oldest.max(server.answered)) / moment.mean_response_time.max(1.0)
+    /// Time since a server with attempts in flight last responded, in mean response times; 0 if it has none.
+    fn silence(clock: FleetClock, server: &Server) -> f64 {
+        let Some(oldest) = server.in_flight.first() else { return 0.0 };
+        (clock.now - oldest.max(server.last_response)) / clock.mean_response_time.max(1.0)
     }
 
-    pub fn is_hung(&self, moment: FleetClock, id: ServerId) -> bool {
-        self.servers.get(&id).is_none_or(|server| Fleet::silence(moment, server) > HUNG_AFTER)
+    pub fn is_hung(&self, clock: FleetClock, id: ServerId) -> bool {
+        self.servers.get(&id).is_none_or(|server| Fleet::silence(clock, server) > HUNG_AFTER)
     }
 
     fn is_ejected(now: Millis, server: &Server) -> bool {
-        now < server.ejected_until || (server.strikes >= STRIKES && !server.out.is_empty())
+        now < server.ejected_until
+            || (server.failures_in_row >= FAILURES_TO_EJECT && !server.in_flight.is_empty())
     }
 
-    /// Picks the server with the least expected wait, as far as own work and answers tell. `home` is where an
-    /// earlier attempt may have run, `tried` tells which servers had one.
+    /// Chooses the server with the least expected wait, judged by this gateway's own attempts and responses.
+    /// `earlier_server` is the server where an earlier attempt may have run; `tried` says whether a server
+    /// had one.
     pub fn choose_server(
         &self,
-        moment: FleetClock,
+        clock: FleetClock,
         settings: &Settings,
         idempotency: Idempotency,
-        home: Option<ServerEntry>,
+        earlier_server: Option<ServerEntry>,
         tried: impl Fn(ServerId) -> bool,
         rng: &mut Rand64,
     ) -> Option<ServerId> {
-        // Guards against tipping a cold server over: it is drawn by lot for its part of the fleet, so that
-        // all gateways send it no more for its capacity than a warm one. Hurts where warmth is understated.
-        let (mut ready, mut capacity) = (0.0, 0.0);
+        // Avoids overloading a server in slow start: it is chosen at random, its share of the fleet's
+        // capacity being the probability, so that all gateways together load it no more for its capacity than
+        // a warm server. Drawback: it is underused where its current capacity is underestimated.
+        let (mut ready, mut fleet_capacity) = (0.0, 0.0);
         for server in self.servers.values().filter(|server| server.entry.lifecycle == Lifecycle::Ready) {
             ready += 1.0;
-            capacity += Fleet::warmth(settings, moment.now, server);
+            fleet_capacity += Fleet::warm_up_share(settings, clock.now, server);
         }
-        let capacity = f64::max(capacity, ready / (COLD_MARGIN * settings.overload_multiple).max(1.0));
-        // Both are in the order of the servers' numbers.
-        let mut subset = self.subset(settings, moment.now).into_iter().peekable();
+        let fleet_capacity =
+            f64::max(fleet_capacity, ready / (COLD_LOAD_SHARE * settings.overload_multiple).max(1.0));
+        // `subset` and `servers` are both sorted by identifier.
+        let mut subset = self.subset(settings, clock.now).into_iter().peekable();
+        // Cheapest server that is neither ejected nor tried before, and cheapest of the others.
         let mut best: [Option<(f64, ServerId)>; 2] = [None, None];
         for (&id, server) in &self.servers {
             let in_subset = subset.next_if_eq(&id).is_some();
-            let same_group = match (idempotency, home) {
-                (Idempotency::Keyed { scope: DedupScope::Zone, .. }, Some(home)) => {
-                    home.zone == server.entry.zone
+            let same_dedup_scope = match (idempotency, earlier_server) {
+                (Idempotency::Keyed { scope: DedupScope::Zone, .. }, Some(earlier_server)) => {
+                    earlier_server.zone == server.entry.zone
                 }
-                (Idempotency::Keyed { scope: DedupScope::Cell, .. }, Some(home)) => {
-                    home.cell == server.entry.cell
+                (Idempotency::Keyed { scope: DedupScope::Cell, .. }, Some(earlier_server)) => {
+                    earlier_server.cell == server.entry.cell
                 }
                 _ => true,
             };
-            if !same_group || server.entry.lifecycle != Lifecycle::Ready {
+            if !same_dedup_scope || server.entry.lifecycle != Lifecycle::Ready {
                 continue;
             }
-            let warmth = Fleet::warmth(settings, moment.now, server);
-            let drawn = warmth < 1.0 && rng.rand_float() < warmth / capacity;
-            if warmth < 1.0 && !drawn {
+            let warm_up_share = Fleet::warm_up_share(settings, clock.now, server);
+            let cold_and_chosen = warm_up_share < 1.0 && rng.rand_float() < warm_up_share / fleet_capacity;
+            if warm_up_share < 1.0 && !cold_and_chosen {
                 continue;
             }
-            let silence = Fleet::silence(moment, server);
-            let ejected = Fleet::is_ejected(moment.now, server);
-            let size = if server.entry.capacity > 0.0 { server.entry.capacity } else { 1.0 };
-            let far = if server.entry.zone == settings.zone { 1.0 } else { FAR };
-            let pace = Fleet::slowness(moment, server).max(silence / 2.0).max(LEAST_PACE);
-            let wait = if drawn { 0.0 } else { (server.out.len() as f64 + 1.0) * pace };
-            let outside = if in_subset { 1.0 } else { OUTSIDE };
-            let cost = wait * far * outside / size * (1.0 + TIE * rng.rand_float());
-            let rank = &mut best[usize::from(ejected || tried(id))];
-            if rank.is_none_or(|(least, _)| cost < least) {
-                *rank = Some((cost, id));
+            let silence = Fleet::silence(clock, server);
+            let ejected = Fleet::is_ejected(clock.now, server);
+            let server_capacity = if server.entry.capacity > 0.0 { server.entry.capacity } else { 1.0 };
+            let zone_cost = if server.entry.zone == settings.zone { 1.0 } else { OTHER_ZONE_COST };
+            let slowness = Fleet::slowness(clock, server).max(silence / 2.0).max(MIN_SLOWNESS);
+            let expected_wait =
+                if cold_and_chosen { 0.0 } else { (server.in_flight.len() as f64 + 1.0) * slowness };
+            let subset_cost = if in_subset { 1.0 } else { OUTSIDE_SUBSET_COST };
+            let cost = expected_wait * zone_cost * subset_cost / server_capacity
+                * (1.0 + COST_JITTER * rng.rand_float());
+            let candidate = &mut best[usize::from(ejected || tried(id))];
+            if candidate.is_none_or(|(least, _)| cost < least) {
+                *candidate = Some((cost, id));
             }
         }
         best[0].or(best[1]).map(|(_, id)| id)
     }
 
-    /// Learns from the end of an attempt that took `elapsed`, where answers of its class take `usual`.
+    /// Updates a server's health after an attempt that took `elapsed`; `class_mean` is the mean of its class.
     pub fn record_outcome(
         &mut self,
-        moment: FleetClock,
+        clock: FleetClock,
         id: ServerId,
         outcome: Outcome,
         elapsed: Millis,
-        usual: Millis,
+        class_mean: Millis,
         actions: &mut Vec<Action>,
     ) {
         let Some(server) = self.servers.get_mut(&id) else { return };
-        server.slowness = Fleet::slowness(moment, server);
-        server.judged = moment.now;
-        let worst = 2.0 * HUNG_AFTER;
-        let pace = (elapsed / usual).min(worst);
+        server.slowness = Fleet::slowness(clock, server);
+        server.slowness_at = clock.now;
+        let max_slowness = 2.0 * HUNG_AFTER;
+        let sample = (elapsed / class_mean).min(max_slowness);
         match outcome {
             Outcome::Ok => {
-                if server.strikes >= STRIKES {
+                if server.failures_in_row >= FAILURES_TO_EJECT {
                     actions.push(Action::Log(format!("server {id} answers again")));
                 }
-                server.strikes = 0;
+                server.failures_in_row = 0;
                 server.ejected_until = 0.0;
-                server.answered = moment.now;
-                server.slowness += SAMPLE * (pace - server.slowness);
+                server.last_response = clock.now;
+                server.slowness += SAMPLE_WEIGHT * (sample - server.slowness);
             }
-            Outcome::Cancelled => server.slowness += SAMPLE * (pace - server.slowness),
+            Outcome::Cancelled => server.slowness += SAMPLE_WEIGHT * (sample - server.slowness),
             Outcome::NotSent => {}
-            Outcome::InvalidRequest => server.answered = moment.now,
-            // Each failure weighs as a very slow answer, and some in a row eject the server. Hurts if the
-            // fault is the request's.
+            Outcome::InvalidRequest => server.last_response = clock.now,
+            // Each failure counts as a very slow response, and several in a row eject the server. This is
+            // wrong where the request itself causes the failure.
             _ => {
-                server.strikes += 1;
-                server.slowness += SAMPLE * (worst - server.slowness);
+                server.failures_in_row += 1;
+                server.slowness += SAMPLE_WEIGHT * (max_slowness - server.slowness);
                 if matches!(outcome, Outcome::Overloaded | Outcome::Error) {
-                    server.answered = moment.now;
+                    server.last_response = clock.now;
                 }
             }
         }
-        if server.strikes >= STRIKES {
-            if server.strikes == STRIKES {
-                actions.push(Action::Log(format!("server {id} ejected: {STRIKES} failures in a row")));
+        if server.failures_in_row >= FAILURES_TO_EJECT {
+            if server.failures_in_row == FAILURES_TO_EJECT {
+                actions
+                    .push(Action::Log(format!("server {id} ejected: {FAILURES_TO_EJECT} failures in a row")));
             }
-            let doublings = (server.strikes - STRIKES).min(4);
-            server.ejected_until = moment.now + HEDGE_AFTER * usual * f64::from(1u32 << doublings);
+            let doublings = (server.failures_in_row - FAILURES_TO_EJECT).min(4);
+            server.ejected_until = clock.now + HEDGE_AFTER * class_mean * f64::from(1u32 << doublings);
         }
     }
 }
