--- a/src/bin/springusher-benchlink.rs
+++ b/src/bin/springusher-benchlink.rs
@@ -1,5 +1,5 @@
-//! The adapter: the decision module on the simulator's wire. One [`Gateway`] an instance; it translates,
-//! and decides nothing.
+//! Adapter between the simulator and the decision module: reads batches of events from standard input and writes
+//! the resulting actions to standard output. Each instance is one [`Gateway`]. No decision logic is here.
 
 use springusher::wire::{Batch, Reply, WireError, WireEvent};
 use springusher::{Action, Gateway};
@@ -41,7 +41,7 @@
     reply: &mut Reply,
 ) -> Result<(), WireError> {
     let mut actions: Vec<Action> = Vec::new();
-    let outcome = match event {
+    let result = match event {
         WireEvent::Start { seed, settings } => {
             match Gateway::new(*settings, seed, clock) {
                 Ok(gateway) => gateways.insert(instance, gateway),
@@ -63,12 +63,12 @@
             panic::catch_unwind(AssertUnwindSafe(|| gateway.handle(clock, event, &mut actions)))
         }
     };
-    match outcome {
+    match result {
         Ok(()) => actions.iter().for_each(|action| reply.push(instance, action)),
-        Err(cause) => {
+        Err(panic) => {
             gateways.remove(&instance);
-            let text = cause.downcast_ref::<String>().map(String::as_str);
-            let text = text.or_else(|| cause.downcast_ref::<&str>().copied());
+            let text = panic.downcast_ref::<String>().map(String::as_str);
+            let text = text.or_else(|| panic.downcast_ref::<&str>().copied());
             reply.instance_failed(instance, text.unwrap_or("the decision module panicked"));
         }
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,4 +1,4 @@
-//! The decisions of a gateway that holds each customer to a quota shared over many gateways, before one fleet of
+//! The decisions of a gateway that holds each customer to a quota shared by many gateways in front of one fleet of
 //! servers.
 //!
 //! The library does no I/O. A host feeds one [`Gateway`] with [`Event`]s, each with the time on the host's monotonic
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,31 +1,32 @@
-//! The codec of the simulator's wire: frames, records and settings to and from the types of
-//! [`crate::interface`]. It translates and decides nothing.
+//! Codec of the simulator's binary protocol: converts frames, records and settings to and from the types of
+//! [`crate::interface`]. No decision logic is here.
 
 use crate::interface::*;
 use std::collections::BTreeMap;
 use std::fmt;
 use std::io::{self, Read};
 
-/// Size of an event record.
+/// Size of an event record, in bytes.
 pub const EVENT_SIZE: usize = 48;
-/// Size of an action record.
+/// Size of an action record, in bytes.
 pub const ACTION_SIZE: usize = 24;
-/// A frame longer than this is taken for garbage.
-const FRAME_LIMIT: u32 = 1 << 30;
+/// Longest frame that is accepted, in bytes; a greater length means corrupt input. Lower may reject large batches;
+/// higher reads more of a corrupt input into memory.
+const MAX_FRAME_LENGTH: u32 = 1 << 30;
 
-/// What is wrong with the input.
+/// Why a batch could not be processed.
 #[derive(Debug)]
 pub enum WireError {
-    /// The input could not be read.
+    /// Reading the input or writing the output failed.
     Io(io::Error),
-    /// The input breaks the layout; the text says where and how.
+    /// The input violates the format; the text says where and how.
     Malformed(String),
 }
 
 impl fmt::Display for WireError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            WireError::Io(error) => write!(f, "cannot read the input: {error}"),
+            WireError::Io(error) => write!(f, "I/O error: {error}"),
             WireError::Malformed(text) => write!(f, "malformed input: {text}"),
         }
     }
@@ -40,9 +41,9 @@
 /// A batch of events.
 #[derive(Debug)]
 pub struct Batch {
-    /// The clock, milliseconds.
+    /// Time of the events on the simulator's clock, in milliseconds.
     pub clock: f64,
-    /// Number of records.
+    /// Number of event records.
     pub count: usize,
     body: Vec<u8>,
 }
@@ -51,7 +52,7 @@
     /// Reads one frame; `None` at the end of the input.
     ///
     /// # Errors
-    /// On a frame that is cut short or whose lengths do not fit together.
+    /// If the frame is truncated or its lengths are inconsistent.
     pub fn read(input: &mut impl Read) -> Result<Option<Batch>, WireError> {
         let mut header = Vec::with_capacity(16);
         input.by_ref().take(12).read_to_end(&mut header).map_err(WireError::Io)?;
@@ -59,7 +60,7 @@
             return Ok(None);
         }
         if header.len() < 12 {
-            return malformed(format!("frame header cut short after {} of 16 bytes", header.len()));
+            return malformed(format!("frame header truncated after {} of 16 bytes", header.len()));
         }
         let head = Record(&header);
         let clock = head.f64(0);
@@ -67,13 +68,13 @@
         if !clock.is_finite() {
             return malformed("the clock is not a finite number");
         }
-        if !(4..=FRAME_LIMIT).contains(&length) {
-            return malformed(format!("frame length {length} is outside 4 to {FRAME_LIMIT}"));
+        if !(4..=MAX_FRAME_LENGTH).contains(&length) {
+            return malformed(format!("frame length {length} is outside 4 to {MAX_FRAME_LENGTH}"));
         }
         let mut body = Vec::new();
         input.by_ref().take(u64::from(length)).read_to_end(&mut body).map_err(WireError::Io)?;
         if body.len() < length as usize {
-            return malformed(format!("frame cut short after {} of {length} bytes", body.len()));
+            return malformed(format!("frame truncated after {} of {length} bytes", body.len()));
         }
         let count = Record(&body).u32(0) as usize;
         if count > (body.len() - 4) / EVENT_SIZE {
@@ -85,7 +86,7 @@
     /// Decodes the record at `index`.
     ///
     /// # Errors
-    /// On an unknown code or a reference outside the tail.
+    /// If the code is unknown, a field is invalid or a reference lies outside the frame's tail.
     pub fn event(&self, index: usize) -> Result<(u16, WireEvent), WireError> {
         let start = 4 + index * EVENT_SIZE;
         let tail = &self.body[4 + self.count * EVENT_SIZE..];
@@ -93,25 +94,25 @@
     }
 }
 
-/// An event as it stands on the wire.
+/// A decoded event record.
 #[derive(Debug, Clone, PartialEq)]
 pub enum WireEvent {
     /// An instance starts.
     Start {
-        /// Its seed.
+        /// Seed of its random numbers.
         seed: u64,
         /// Its settings.
         settings: Box<Settings>,
     },
     /// An instance was killed.
     Stop,
-    /// An event of the module's interface.
+    /// An event for the instance's gateway.
     Event(Event),
-    /// An event that the module has no use for: probes and peers, which it never asks for.
+    /// A result of a probe or a message of another instance; the gateway requests neither.
     Ignored,
 }
 
-/// Big-endian fields of a slice whose length was checked before.
+/// Reads big-endian fields of a slice whose length has been checked.
 struct Record<'a>(&'a [u8]);
 
 impl Record<'_> {
@@ -138,22 +139,30 @@
     fn f64(&self, at: usize) -> f64 {
         f64::from_be_bytes(self.take(at))
     }
-    fn tail<'t>(&self, at: usize, unit: usize, tail: &'t [u8], what: &str) -> Result<&'t [u8], WireError> {
-        let (from, length) = (self.u32(at) as usize, self.u32(at + 4) as usize);
-        match from.checked_add(length.saturating_mul(unit)).and_then(|end| tail.get(from..end)) {
+    /// The items of `item_size` bytes in `tail` to which the reference at `at` points.
+    fn tail<'t>(
+        &self,
+        at: usize,
+        item_size: usize,
+        tail: &'t [u8],
+        field: &str,
+    ) -> Result<&'t [u8], WireError> {
+        let (start, length) = (self.u32(at) as usize, self.u32(at + 4) as usize);
+        match start.checked_add(length.saturating_mul(item_size)).and_then(|end| tail.get(start..end)) {
             Some(slice) => Ok(slice),
-            None => {
-                malformed(format!("{what}: reference {from}+{length} lies outside a tail of {}", tail.len()))
-            }
+            None => malformed(format!(
+                "{field}: reference {start}+{length} lies outside a tail of {} bytes",
+                tail.len()
+            )),
         }
     }
 }
 
-fn finite(value: f64, what: &str) -> Result<f64, WireError> {
+fn finite(value: f64, field: &str) -> Result<f64, WireError> {
     if value.is_finite() {
         return Ok(value);
     }
-    malformed(format!("{what} is not a finite number"))
+    malformed(format!("{field} is not a finite number"))
 }
 
 fn decode(bytes: &[u8], tail: &[u8]) -> Result<(u16, WireEvent), WireError> {
@@ -191,10 +200,11 @@
                 1 => ListKind::Full,
                 2 => ListKind::Cached,
                 3 => ListKind::Failed,
-                other => return malformed(format!("ROSTER_CHANGE form {other} is unknown")),
+                other => return malformed(format!("ROSTER_CHANGE kind {other} is unknown")),
             };
-            let entries = record.tail(12, ENTRY, tail, "ROSTER_CHANGE hosts")?;
-            let entries = entries.chunks_exact(ENTRY).map(server_entry).collect::<Result<_, _>>()?;
+            let entries = record.tail(12, SERVER_ENTRY_SIZE, tail, "ROSTER_CHANGE hosts")?;
+            let entries =
+                entries.chunks_exact(SERVER_ENTRY_SIZE).map(server_entry).collect::<Result<_, _>>()?;
             WireEvent::Event(Event::Servers { kind, entries })
         }
         23 => WireEvent::Stop,
@@ -218,8 +228,8 @@
     Ok((record.u16(1), event))
 }
 
-/// Size of a line of the server list.
-const ENTRY: usize = 22;
+/// Size of an entry of the server list, in bytes.
+const SERVER_ENTRY_SIZE: usize = 22;
 
 fn server_entry(bytes: &[u8]) -> Result<ServerEntry, WireError> {
     let record = Record(bytes);
@@ -253,7 +263,7 @@
     })
 }
 
-/// Settings as path=value lines.
+/// Settings as lines of `path=value`.
 struct Params<'a>(BTreeMap<&'a str, &'a str>);
 
 impl<'a> Params<'a> {
@@ -263,35 +273,35 @@
         };
         match text.parse() {
             Ok(value) => Ok(value),
-            Err(_) => malformed(format!("setting {path} has the unreadable value '{text}'")),
+            Err(_) => malformed(format!("setting {path} has the invalid value '{text}'")),
         }
     }
-    fn word(&self, path: &str) -> Result<&'a str, WireError> {
+    fn text(&self, path: &str) -> Result<&'a str, WireError> {
         match self.0.get(path) {
             Some(text) => Ok(text),
             None => malformed(format!("required setting {path} is missing")),
         }
     }
-    /// An object list gives its length under `.count`; its items are looked up one by one.
+    /// Reads a list: its length is the setting `{path}.count`, its items are under `{path}.0` and so on.
     fn list<T>(&self, path: &str, item: impl Fn(&str) -> Result<T, WireError>) -> Result<Vec<T>, WireError> {
         let count: u16 = self.get(&format!("{path}.count"))?;
         (0..count).map(|index| item(&format!("{path}.{index}"))).collect()
     }
 }
 
-/// Reads the settings of a start; unknown keys are skipped.
+/// Parses the settings of an instance; unknown keys are ignored.
 ///
 /// # Errors
-/// Names a required key that is missing, unreadable or out of range.
+/// If a required key is missing or a value is invalid; the message names the setting.
 pub fn settings(text: &str) -> Result<Settings, WireError> {
     let params = Params(text.lines().filter_map(|line| line.split_once('=')).collect());
     let classes = params.list("classes", |at| {
         let field = |name: &str| format!("{at}.{name}");
-        let idempotency = match params.word(&field("semantics"))? {
+        let idempotency = match params.text(&field("semantics"))? {
             "free" => Idempotency::Idempotent,
             "single_shot" => Idempotency::NonIdempotent,
             "guarded" => Idempotency::Keyed {
-                scope: match params.word(&field("group"))? {
+                scope: match params.text(&field("group"))? {
                     "all" => DedupScope::All,
                     "zone" => DedupScope::Zone,
                     "cell" => DedupScope::Cell,
@@ -310,23 +320,23 @@
         })
     })?;
     let plans = params.list("plans", |at| {
-        let figure = |name: &str| params.get(&format!("{at}.{name}"));
+        let value = |name: &str| params.get(&format!("{at}.{name}"));
         Ok(Plan {
-            rate: figure("unitsPerS")?,
-            burst: figure("storeSize")?,
+            rate: value("unitsPerS")?,
+            burst: value("storeSize")?,
             max_concurrent: params.get(&format!("{at}.concurrency"))?,
-            price: figure("price")?,
-            excess_worth: figure("excessWorth")?,
-            excess_cost: figure("overrunCost")?,
-            ceiling_rate: figure("neverOverRate")?,
-            ceiling_burst: figure("capDepth")?,
-            ceiling_overdraft: figure("tolerance")?,
+            price: value("price")?,
+            excess_worth: value("excessWorth")?,
+            excess_cost: value("overrunCost")?,
+            ceiling_rate: value("neverOverRate")?,
+            ceiling_burst: value("capDepth")?,
+            ceiling_overdraft: value("tolerance")?,
         })
     })?;
-    // Settings of older deployments may lack it.
+    // Settings written for older versions may lack this key.
     let counter = params.0.contains_key("familyInfo.counter");
     let counter = counter && params.get("familyInfo.counter")?;
-    let advice: bool = params.get("bounds.retryAfter")?;
+    let pass_retry_after: bool = params.get("bounds.retryAfter")?;
     let settings = Settings {
         gateways: params.get("balancers")?,
         ordinal: params.get("ordinal")?,
@@ -338,14 +348,14 @@
         max_attempts: params.get("bounds.maxAttempts")?,
         may_duplicate: params.get("bounds.mayDuplicate")?,
         may_cancel: params.get("bounds.cancel")?,
-        max_retry_after: if advice { params.get("bounds.maxRetryAfter")? } else { 0.0 },
+        max_retry_after: if pass_retry_after { params.get("bounds.maxRetryAfter")? } else { 0.0 },
         drain_grace: params.get("rules.stopSendingWithin")?,
         cold_capacity: params.get("rules.coldFrom")?,
         warm_up_time: params.get("rules.cold")?,
         overload_multiple: params.get("rules.tipMultiple")?,
         overload_after: params.get("rules.fall")?,
         tick: params.get("tick")?,
-        list_on_request: match params.word("registryMode")? {
+        list_on_request: match params.text("registryMode")? {
             "pushed" => false,
             "on_request" => true,
             other => return malformed(format!("setting registryMode has the unknown value '{other}'")),
@@ -356,7 +366,7 @@
     Ok(settings)
 }
 
-/// A reply in the making.
+/// A reply frame under construction.
 #[derive(Debug, Default)]
 pub struct Reply {
     count: u32,
@@ -365,52 +375,52 @@
 }
 
 impl Reply {
-    /// Adds an action of an instance.
+    /// Appends an action of an instance.
     pub fn push(&mut self, instance: u16, action: &Action) {
         match action {
-            Action::Send { request, server, give_up_at, .. } => self.record(91, instance, |out| {
+            Action::Send { request, server, give_up_at, .. } => self.push_record(91, instance, |out| {
                 out.extend(request.to_be_bytes());
                 out.extend(server.to_be_bytes());
                 out.extend(give_up_at.unwrap_or(0.0).to_be_bytes());
             }),
-            Action::Refuse { request, retry_after, .. } => self.record(83, instance, |out| {
+            Action::Refuse { request, retry_after, .. } => self.push_record(83, instance, |out| {
                 out.extend(request.to_be_bytes());
                 out.extend(retry_after.to_be_bytes());
             }),
-            Action::Fail(request) => self.record(88, instance, |out| out.extend(request.to_be_bytes())),
-            Action::Cancel { request, attempt } => self.record(86, instance, |out| {
+            Action::Fail(request) => self.push_record(88, instance, |out| out.extend(request.to_be_bytes())),
+            Action::Cancel { request, attempt } => self.push_record(86, instance, |out| {
                 out.extend(request.to_be_bytes());
                 out.push(*attempt);
             }),
-            Action::Timer { at, token } => self.record(82, instance, |out| {
+            Action::Timer { at, token } => self.push_record(82, instance, |out| {
                 out.extend(at.to_be_bytes());
                 out.extend(token.to_be_bytes());
             }),
-            Action::AddToCounter { key, amount, ttl } => self.record(80, instance, |out| {
+            Action::AddToCounter { key, amount, ttl } => self.push_record(80, instance, |out| {
                 out.extend((*amount as f32).to_be_bytes());
                 out.extend(ttl.to_be_bytes());
                 out.extend(key.to_be_bytes());
             }),
-            Action::WatchServers => self.record(81, instance, |out| out.push(1)),
-            Action::Log(text) => self.text(84, instance, text),
+            Action::WatchServers => self.push_record(81, instance, |out| out.push(1)),
+            Action::Log(text) => self.push_text(84, instance, text),
         }
     }
 
-    /// Declares that the decision code of an instance failed.
+    /// Appends a record that the decision code of an instance panicked with `text`.
     pub fn instance_failed(&mut self, instance: u16, text: &str) {
-        self.text(92, instance, text);
+        self.push_text(92, instance, text);
     }
 
-    fn text(&mut self, code: u8, instance: u16, text: &str) {
-        let from = self.tail.len() as u32;
+    fn push_text(&mut self, code: u8, instance: u16, text: &str) {
+        let start = self.tail.len() as u32;
         self.tail.extend(text.as_bytes());
-        self.record(code, instance, |out| {
-            out.extend(from.to_be_bytes());
+        self.push_record(code, instance, |out| {
+            out.extend(start.to_be_bytes());
             out.extend((text.len() as u32).to_be_bytes());
         });
     }
 
-    fn record(&mut self, code: u8, instance: u16, fields: impl FnOnce(&mut Vec<u8>)) {
+    fn push_record(&mut self, code: u8, instance: u16, fields: impl FnOnce(&mut Vec<u8>)) {
         self.count += 1;
         self.records.push(code);
         self.records.extend(instance.to_be_bytes());
@@ -418,7 +428,7 @@
         self.records.resize(self.count as usize * ACTION_SIZE, 0);
     }
 
-    /// The frame.
+    /// The complete frame.
     pub fn into_bytes(self) -> Vec<u8> {
         let mut frame = Vec::with_capacity(8 + self.records.len() + self.tail.len());
         frame.extend(self.count.to_be_bytes());
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -286,7 +286,7 @@
 #[test]
 fn the_adapter_tells_what_is_wrong_and_exits_non_zero() {
     for (input, word) in [
-        (frame(0.0, &[], &[])[..7].to_vec(), "cut short"),
+        (frame(0.0, &[], &[])[..7].to_vec(), "truncated"),
         (frame(0.0, &[Rec::new(99, 3)], &[]), "99"),
         (frame(0.0, &[Rec::new(17, 3)], &[]), "not running"),
         (frame(0.0, &[Rec::new(19, 3)], &[]), "classes.count"),
