--- a/tests/shared_quota.rs
+++ b/tests/shared_quota.rs
@@ -1,5 +1,5 @@
-//! A quota that many gateways share: one customer whose requests fall unevenly over them, a meter or a
-//! counter between them, a made-up clock.
+//! A quota that many gateways share through a meter or a counter: one customer whose requests are spread unevenly
+//! over the gateways, on a simulated clock.
 
 mod common;
 
@@ -9,69 +9,80 @@
 use std::collections::{BTreeMap, VecDeque};
 
 const GATEWAYS: u32 = 100;
+/// Quota, in units per second.
 const RATE: f64 = 3.0;
+/// Burst of the quota's token bucket, in units.
 const BURST: f64 = 9.0;
-const STEP: Millis = 10.0;
-const PERIOD: Millis = 2000.0;
+/// Step of the simulated clock.
+const CLOCK_STEP: Millis = 10.0;
+/// Period over which the meter sums usage.
+const METER_PERIOD: Millis = 2000.0;
 
-fn told(ordinal: u32, metered: bool) -> Settings {
+fn gateway_settings(ordinal: u32, metered: bool) -> Settings {
     let plan = Plan { rate: RATE, burst: BURST, price: 1.0, excess_cost: 1.0, ..Plan::default() };
-    let meter_period = if metered { PERIOD } else { 0.0 };
+    let meter_period = if metered { METER_PERIOD } else { 0.0 };
     Settings { gateways: GATEWAYS, ordinal, plans: vec![plan], meter_period, counter: !metered, ..settings() }
 }
 
-/// What the customer's own token bucket over all gateways says.
+/// Units of the customer's requests, judged by one exact token bucket over all gateways.
 #[derive(Default)]
 struct Tally {
-    inside: f64,
-    beyond: f64,
-    refused_with_room: f64,
+    /// Forwarded within the quota.
+    within_quota: f64,
+    /// Forwarded beyond the quota.
+    beyond_quota: f64,
+    /// Refused while the bucket was at least half full.
+    refused_within_quota: f64,
 }
 
 impl Tally {
-    fn share_refused_with_room(&self) -> f64 {
-        self.refused_with_room / (self.inside + self.beyond + self.refused_with_room)
+    fn share_refused_within_quota(&self) -> f64 {
+        self.refused_within_quota / (self.within_quota + self.beyond_quota + self.refused_within_quota)
     }
 }
 
-/// The gateways, and what they share.
-struct World {
+/// The gateways and the state that they share.
+struct Cluster {
     hosts: Vec<TestHost>,
     numbers: BTreeMap<CounterKey, f64>,
     /// Whether the counter answers.
     counter_is_up: bool,
     calls: usize,
-    periods: Vec<f64>,
-    /// Attempts out, by when they end.
-    out: VecDeque<(Millis, usize, RequestId)>,
+    /// Units forwarded in each period of the meter.
+    period_units: Vec<f64>,
+    /// Attempts in flight, in the order in which they end.
+    in_flight: VecDeque<(Millis, usize, RequestId)>,
     rng: Rand64,
     now: Millis,
-    last: RequestId,
+    last_request: RequestId,
     tally: Tally,
-    store: f64,
+    /// Level of the exact token bucket, in units.
+    bucket_level: f64,
 }
 
-impl World {
-    fn new(metered: bool, seed: u64) -> World {
+impl Cluster {
+    fn new(metered: bool, seed: u64) -> Cluster {
         let servers: Vec<_> = (1..=60).map(server).collect();
-        let host = |ordinal| TestHost::seeded(told(ordinal, metered), seed + u64::from(ordinal), &servers);
-        World {
+        let host = |ordinal| {
+            TestHost::seeded(gateway_settings(ordinal, metered), seed + u64::from(ordinal), &servers)
+        };
+        Cluster {
             hosts: (0..GATEWAYS).map(host).collect(),
             numbers: BTreeMap::new(),
             counter_is_up: true,
             calls: 0,
-            periods: vec![0.0; 100],
-            out: VecDeque::new(),
+            period_units: vec![0.0; 100],
+            in_flight: VecDeque::new(),
             rng: Rand64::new(u128::from(seed)),
             now: 0.0,
-            last: 0,
+            last_request: 0,
             tally: Tally::default(),
-            store: BURST,
+            bucket_level: BURST,
         }
     }
 
-    /// A few gateways get most of the requests, as the square of a lot falls.
-    fn gateway(&mut self) -> usize {
+    /// Picks a gateway by the square of a random number, so that a few of them get most of the requests.
+    fn pick_gateway(&mut self) -> usize {
         (self.rng.rand_float().powi(2) * f64::from(GATEWAYS)) as usize
     }
 
@@ -98,112 +109,113 @@
         all
     }
 
-    /// One try; true if it was sent on.
+    /// Sends one request; true if it was forwarded.
     fn new_request(&mut self, is_client_retry: bool, expires_in: Millis) -> bool {
-        self.last += 1;
-        let (gateway, id) = (self.gateway(), self.last);
+        self.last_request += 1;
+        let (gateway, id) = (self.pick_gateway(), self.last_request);
         let spread = GATEWAYS;
         let request =
             Request { id, customer: 77, plan: 0, class: 0, units: 1.0, spread, expires_in, is_client_retry };
         let actions = self.event(gateway, Event::Request(request));
-        let room = self.store >= 1.0;
+        let has_units = self.bucket_level >= 1.0;
         if sends(&actions).is_empty() {
             assert!(refused(&actions), "neither sent nor refused at once");
-            self.tally.refused_with_room += f64::from(u8::from(self.store >= BURST / 2.0));
+            self.tally.refused_within_quota += f64::from(u8::from(self.bucket_level >= BURST / 2.0));
             return false;
         }
-        self.out.push_back((self.now + 100.0, gateway, id));
-        self.periods[(self.now / PERIOD) as usize] += 1.0;
-        if room {
-            self.store -= 1.0;
-            self.tally.inside += 1.0;
+        self.in_flight.push_back((self.now + 100.0, gateway, id));
+        self.period_units[(self.now / METER_PERIOD) as usize] += 1.0;
+        if has_units {
+            self.bucket_level -= 1.0;
+            self.tally.within_quota += 1.0;
         } else {
-            self.tally.beyond += 1.0;
+            self.tally.beyond_quota += 1.0;
         }
         true
     }
 
-    /// Moves the clock on and ends what is due; answers carry the use of the last period but one.
-    fn pass(&mut self, metered: bool) {
-        self.now += STEP;
-        self.store = (self.store + RATE * STEP / 1000.0).min(BURST);
-        while self.out.front().is_some_and(|(at, _, _)| *at <= self.now) {
-            let Some((_, gateway, request)) = self.out.pop_front() else { break };
-            let told = (self.now / PERIOD) as usize;
-            let quota_usage =
-                (metered && told >= 2).then(|| self.periods[told - 2] * 1000.0 / (RATE * PERIOD));
+    /// Advances the clock by one step and ends the attempts that are due; responses carry the usage of the last
+    /// period but one.
+    fn advance(&mut self, metered: bool) {
+        self.now += CLOCK_STEP;
+        self.bucket_level = (self.bucket_level + RATE * CLOCK_STEP / 1000.0).min(BURST);
+        while self.in_flight.front().is_some_and(|(at, _, _)| *at <= self.now) {
+            let Some((_, gateway, request)) = self.in_flight.pop_front() else { break };
+            let period = (self.now / METER_PERIOD) as usize;
+            let quota_usage = (metered && period >= 2)
+                .then(|| self.period_units[period - 2] * 1000.0 / (RATE * METER_PERIOD));
             let (attempt, outcome, elapsed, finished) = (0, Outcome::Ok, 100.0, true);
             let end = AttemptEnd { request, attempt, outcome, elapsed, finished, quota_usage };
             self.event(gateway, Event::AttemptEnd(end));
         }
     }
 
-    /// First tries at `offered` a second for `seconds`; whoever is refused comes again through any gateway,
-    /// up to three times, 200 ms later each time.
-    fn play(&mut self, metered: bool, offered: f64, seconds: f64, marked: bool) {
-        let mut again = VecDeque::new();
+    /// Sends `offered` first requests per second for `seconds`. A refused client retries through any gateway, up to
+    /// three times, after 200 ms each; `marks_retries` says whether it marks its retries.
+    fn run(&mut self, metered: bool, offered: f64, seconds: f64, marks_retries: bool) {
+        let mut retries = VecDeque::new();
         let end = self.now + seconds * 1000.0;
         while self.now < end {
-            self.pass(metered);
-            while again.front().is_some_and(|(at, _)| *at <= self.now) {
-                let Some((_, tries)) = again.pop_front() else { break };
-                // What is left of 4 s after the tries before; first tries get nine tenths of that.
-                let left = (4000.0 - 450.0 * f64::from(tries)).min(3600.0);
-                if !self.new_request(marked, left) && tries < 3 {
-                    again.push_back((self.now + 200.0, tries + 1));
+            self.advance(metered);
+            while retries.front().is_some_and(|(at, _)| *at <= self.now) {
+                let Some((_, requests)) = retries.pop_front() else { break };
+                // What is left of the client's 4 s after its earlier requests, at most the nine tenths of a first one.
+                let left = (4000.0 - 450.0 * f64::from(requests)).min(3600.0);
+                if !self.new_request(marks_retries, left) && requests < 3 {
+                    retries.push_back((self.now + 200.0, requests + 1));
                 }
             }
-            if self.rng.rand_float() < offered * STEP / 1000.0 && !self.new_request(false, 3600.0) {
-                again.push_back((self.now + 200.0, 1));
+            if self.rng.rand_float() < offered * CLOCK_STEP / 1000.0 && !self.new_request(false, 3600.0) {
+                retries.push_back((self.now + 200.0, 1));
             }
         }
     }
 }
 
-/// Plays a customer that asks so many times its quota for half a minute; the tallies of five seeds together.
-fn plays(metered: bool, times: f64, marked: bool) -> Tally {
+/// Runs a customer that sends `times` its quota for half a minute; returns the sum of the tallies of five seeds.
+fn run_seeds(metered: bool, times: f64, marks_retries: bool) -> Tally {
     let mut all = Tally::default();
     for seed in 1..=5 {
-        let mut world = World::new(metered, 1000 * seed);
-        world.play(metered, times * RATE, 30.0, marked);
-        all.inside += world.tally.inside;
-        all.beyond += world.tally.beyond;
-        all.refused_with_room += world.tally.refused_with_room;
+        let mut cluster = Cluster::new(metered, 1000 * seed);
+        cluster.run(metered, times * RATE, 30.0, marks_retries);
+        all.within_quota += cluster.tally.within_quota;
+        all.beyond_quota += cluster.tally.beyond_quota;
+        all.refused_within_quota += cluster.tally.refused_within_quota;
     }
     all
 }
 
-/// What five times half a minute let in.
+/// Units that the quota allows in five runs of half a minute.
 const QUOTA: f64 = 5.0 * (BURST + 30.0 * RATE);
 
 #[test]
-fn without_a_meter_the_counter_holds_a_quota_that_many_gateways_share() {
-    let heavy = plays(false, 4.0, true);
-    assert!(heavy.beyond < 0.2 * QUOTA, "{} beyond a quota of {QUOTA}", heavy.beyond);
-    assert!(heavy.inside > 0.8 * QUOTA, "{} of {QUOTA} let in", heavy.inside);
-    let quiet = plays(false, 0.3, true);
-    let share = quiet.refused_with_room / (quiet.inside + quiet.refused_with_room);
-    assert!(share < 0.04, "{} refused", quiet.refused_with_room);
+fn without_a_meter_the_counter_enforces_a_quota_that_many_gateways_share() {
+    let heavy = run_seeds(false, 4.0, true);
+    assert!(heavy.beyond_quota < 0.2 * QUOTA, "{} beyond a quota of {QUOTA}", heavy.beyond_quota);
+    assert!(heavy.within_quota > 0.8 * QUOTA, "{} of {QUOTA} admitted", heavy.within_quota);
+    let quiet = run_seeds(false, 0.3, true);
+    let share = quiet.refused_within_quota / (quiet.within_quota + quiet.refused_within_quota);
+    assert!(share < 0.04, "{} refused", quiet.refused_within_quota);
 }
 
 #[test]
-fn without_a_meter_and_a_counter_that_answers_the_gateways_go_by_what_they_see() {
-    let mut world = World::new(false, 7);
-    world.counter_is_up = false;
-    world.play(false, 0.3 * RATE, 30.0, true);
-    assert!(world.tally.inside > 20.0 && world.tally.refused_with_room <= 2.0);
-    // Asked in vain a few times each, it is asked ever less often.
-    let before = world.calls;
-    world.play(false, 20.0 * RATE, 60.0, true);
-    let (calls, tries) = (world.calls - before, world.last as usize);
-    assert!(calls < tries / 2, "{calls} calls in vain for {tries} tries");
+fn without_a_meter_and_with_a_failed_counter_gateways_admit_by_their_own_traffic() {
+    let mut cluster = Cluster::new(false, 7);
+    cluster.counter_is_up = false;
+    cluster.run(false, 0.3 * RATE, 30.0, true);
+    assert!(cluster.tally.within_quota > 20.0 && cluster.tally.refused_within_quota <= 2.0);
+    // After a few failed calls each, the gateways call it ever less often.
+    let before = cluster.calls;
+    cluster.run(false, 20.0 * RATE, 60.0, true);
+    let (calls, requests) = (cluster.calls - before, cluster.last_request as usize);
+    assert!(calls < requests / 2, "{calls} failed calls for {requests} requests");
 }
 
-/// Which share of tries, each of a customer never seen before, is sent on where the counter leaves one in two calls
-/// unanswered and tells `total` of the others; behind as many from which the gateway may learn.
-fn sent_of_strangers(total: f64) -> f64 {
+/// Share of requests, each of a customer not seen before, that is forwarded when the counter leaves every second call
+/// unanswered and answers the others with `total`. It is taken over 200 requests, after 200 for the gateway to learn.
+fn forwarded_share_of_new_customers(total: f64) -> f64 {
     let servers: Vec<_> = (1..=60).map(server).collect();
-    let mut host = TestHost::seeded(told(0, false), 5, &servers);
+    let mut host = TestHost::seeded(gateway_settings(0, false), 5, &servers);
     let mut sent = 0;
     for id in 1..=400 {
         host.now += 50.0;
@@ -219,11 +231,11 @@
             is_client_retry: false,
         };
         let mut actions = host.event(Event::Request(request));
-        let calls = actions.iter().find_map(|action| match action {
+        let call = actions.iter().find_map(|action| match action {
             Action::AddToCounter { key, .. } => Some(*key),
             _ => None,
         });
-        if let Some(key) = calls {
+        if let Some(key) = call {
             let result = if id % 2 == 0 { AddResult::Unknown } else { AddResult::Total(total) };
             actions.extend(host.event(Event::CounterAnswer { key, result }));
         }
@@ -236,30 +248,38 @@
 }
 
 #[test]
-fn what_the_counter_leaves_open_goes_by_what_it_told_of_other_tries() {
-    let (pressed, quiet) = (sent_of_strangers(1e6), sent_of_strangers(1.0));
-    assert!(pressed < 0.2, "{pressed} of the tries sent on though no bucket holds anything");
-    assert!(quiet > 0.95, "{quiet} of the tries sent on though each bucket holds enough");
+fn requests_without_a_counter_answer_are_admitted_like_those_with_one() {
+    let (exhausted, quiet) = (forwarded_share_of_new_customers(1e6), forwarded_share_of_new_customers(1.0));
+    assert!(exhausted < 0.2, "{exhausted} of the requests forwarded though every bucket is empty");
+    assert!(quiet > 0.95, "{quiet} of the requests forwarded though every bucket holds enough");
 }
 
 #[test]
-fn a_refused_try_gives_its_draw_back() {
-    let mut world = World::new(false, 11);
-    // A surge that is over soon: what was refused in it must not count against what comes behind it.
-    world.play(false, 20.0 * RATE, 3.0, true);
-    let before = world.tally.inside + world.tally.beyond;
-    world.play(false, 0.9 * RATE, 20.0, true);
-    let sent = world.tally.inside + world.tally.beyond - before;
-    assert!(sent > 0.6 * 0.9 * RATE * 20.0, "{sent} let in behind a surge");
+fn a_refused_request_returns_the_units_it_drew() {
+    let mut cluster = Cluster::new(false, 11);
+    // A short surge: the requests refused in it must not count against those that follow.
+    cluster.run(false, 20.0 * RATE, 3.0, true);
+    let before = cluster.tally.within_quota + cluster.tally.beyond_quota;
+    cluster.run(false, 0.9 * RATE, 20.0, true);
+    let sent = cluster.tally.within_quota + cluster.tally.beyond_quota - before;
+    assert!(sent > 0.6 * 0.9 * RATE * 20.0, "{sent} forwarded after a surge");
 }
 
 #[test]
-fn with_a_meter_a_heavy_customer_spread_unevenly_gains_little_by_coming_again() {
-    for (marked, most) in [(true, 1.15), (false, 1.45)] {
-        let heavy = plays(true, 4.0, marked);
-        assert!(heavy.beyond < most * QUOTA, "marked {marked}: {} beyond a quota of {QUOTA}", heavy.beyond);
-        assert!(heavy.inside > 0.75 * QUOTA, "marked {marked}: {} of {QUOTA} let in", heavy.inside);
-        let quiet = plays(true, 0.3, marked);
-        assert!(quiet.share_refused_with_room() < 0.04, "{} refused", quiet.refused_with_room);
+fn with_a_meter_a_heavy_customer_spread_unevenly_gains_little_by_retrying() {
+    for (marks_retries, most) in [(true, 1.15), (false, 1.45)] {
+        let heavy = run_seeds(true, 4.0, marks_retries);
+        assert!(
+            heavy.beyond_quota < most * QUOTA,
+            "retries marked: {marks_retries}: {} beyond a quota of {QUOTA}",
+            heavy.beyond_quota
+        );
+        assert!(
+            heavy.within_quota > 0.75 * QUOTA,
+            "retries marked: {marks_retries}: {} of {QUOTA} admitted",
+            heavy.within_quota
+        );
+        let quiet = run_seeds(true, 0.3, marks_retries);
+        assert!(quiet.share_refused_within_quota() < 0.04, "{} refused", quiet.refused_within_quota);
     }
 }
