--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Many gateways in one process on a made-up clock, counted across all of them: what is harmless at one
-//! gateway and harmful at a hundred.
+//! Many gateways in one process on a simulated clock, with counts over all of them: finds behaviour that is harmless
+//! with one gateway and harmful with a hundred.
 
 mod common;
 
@@ -10,31 +10,32 @@
 const GATEWAYS: u32 = 100;
 const SERVERS: u32 = 60;
 
-/// What a hundred gateways are told; answers take from the first what they are taken to take.
-fn told(ordinal: u32) -> Settings {
-    let mut told = Settings { gateways: GATEWAYS, ordinal, ..settings() };
-    for class in &mut told.classes {
+/// Settings of one gateway. The latency target makes it assume from the start the 50 ms that responses take here.
+fn gateway_settings(ordinal: u32) -> Settings {
+    let mut settings = Settings { gateways: GATEWAYS, ordinal, ..settings() };
+    for class in &mut settings.classes {
         class.latency_target = 300.0;
     }
-    told
+    settings
 }
 
-/// A hundred gateways that know the same servers.
-fn fleet(servers: &[ServerEntry]) -> Vec<TestHost> {
-    (0..GATEWAYS).map(|ordinal| TestHost::seeded(told(ordinal), u64::from(ordinal), servers)).collect()
+/// A hundred gateways with the same server list.
+fn start_gateways(servers: &[ServerEntry]) -> Vec<TestHost> {
+    (0..GATEWAYS)
+        .map(|ordinal| TestHost::seeded(gateway_settings(ordinal), u64::from(ordinal), servers))
+        .collect()
 }
 
-/// Server numbers as names give them: without order.
-fn id(n: u32) -> ServerId {
+/// Server identifiers without order, like those that are derived from names.
+fn server_id(n: u32) -> ServerId {
     n.wrapping_mul(0x9e37_79b9)
 }
 
-/// Each gateway in turn sends one request after another, `rounds` times, with one in hand; counts the sends
-/// of each gateway to each server.
-fn send_all(fleet: &mut [TestHost], rounds: usize) -> BTreeMap<(u32, ServerId), usize> {
+/// Sends `rounds` requests through each gateway, one at a time; counts the attempts from each gateway to each server.
+fn send_all(gateways: &mut [TestHost], rounds: usize) -> BTreeMap<(u32, ServerId), usize> {
     let mut sent = BTreeMap::new();
     for _ in 0..rounds {
-        for (gateway, host) in (0..).zip(fleet.iter_mut()) {
+        for (gateway, host) in (0..).zip(gateways.iter_mut()) {
             host.now += 200.0;
             let (request, actions) = host.new_request(1, 3, 0);
             for server in sends(&actions) {
@@ -51,10 +52,10 @@
 }
 
 #[test]
-fn many_gateways_keep_to_a_few_servers_each_and_yet_load_all_alike() {
-    let servers: Vec<_> = (0..SERVERS).map(|n| server(id(n))).collect();
-    let sent = send_all(&mut fleet(&servers), 100);
-    // Every pair is a connection: to go everywhere would make 6,000 of them.
+fn many_gateways_use_a_few_servers_each_and_load_all_servers_evenly() {
+    let servers: Vec<_> = (0..SERVERS).map(|n| server(server_id(n))).collect();
+    let sent = send_all(&mut start_gateways(&servers), 100);
+    // Each pair is a connection; all gateways using all servers would need 6,000.
     assert!(sent.len() <= 1000, "{} pairs of a gateway and a server", sent.len());
     let mut loads: BTreeMap<ServerId, usize> = BTreeMap::new();
     for ((_, server), count) in &sent {
@@ -67,49 +68,56 @@
 }
 
 #[test]
-fn one_server_less_moves_few_gateways_to_others() {
-    let servers: Vec<_> = (0..SERVERS).map(|n| server(id(n))).collect();
-    let mut fleet = fleet(&servers);
-    let before = send_all(&mut fleet, 60);
-    for host in &mut fleet {
-        let gone = ServerEntry { lifecycle: Lifecycle::Gone, ..server(id(0)) };
+fn removing_a_server_moves_few_gateways_to_other_servers() {
+    let servers: Vec<_> = (0..SERVERS).map(|n| server(server_id(n))).collect();
+    let mut gateways = start_gateways(&servers);
+    let before = send_all(&mut gateways, 60);
+    for host in &mut gateways {
+        let gone = ServerEntry { lifecycle: Lifecycle::Gone, ..server(server_id(0)) };
         host.event(Event::Servers { kind: ListKind::Delta, entries: vec![gone] });
     }
-    let after = send_all(&mut fleet, 60);
-    assert!(after.keys().all(|(_, server)| *server != id(0)));
+    let after = send_all(&mut gateways, 60);
+    assert!(after.keys().all(|(_, server)| *server != server_id(0)));
     let new = after.keys().filter(|pair| !before.contains_key(pair)).count();
-    assert!(10 * new <= before.len(), "{new} new pairs beside {}", before.len());
+    assert!(10 * new <= before.len(), "{new} new pairs, {} before", before.len());
 }
 
 #[test]
 fn few_gateways_use_every_server() {
-    let servers: Vec<_> = (0..12).map(|n| server(id(n))).collect();
+    let servers: Vec<_> = (0..12).map(|n| server(server_id(n))).collect();
     let mut host = TestHost::new(settings(), &servers);
     let sent = send_all(std::slice::from_mut(&mut host), 300);
     assert_eq!(servers_of(&sent, 0).len(), 12);
 }
 
 #[test]
-fn when_every_server_is_slow_copies_of_requests_add_little_to_the_load() {
-    let servers: Vec<_> = (0..SERVERS).map(|n| server(id(n))).collect();
-    let told = |ordinal| Settings { may_duplicate: true, ..told(ordinal) };
-    let (mut first, mut all) = (0, 0);
+fn when_every_server_is_slow_hedged_attempts_add_little_load() {
+    let servers: Vec<_> = (0..SERVERS).map(|n| server(server_id(n))).collect();
+    let hedging_settings = |ordinal| Settings { may_duplicate: true, ..gateway_settings(ordinal) };
+    let (mut first_attempts, mut all_attempts) = (0, 0);
     for ordinal in 0..GATEWAYS {
-        let mut host = TestHost::seeded(told(ordinal), u64::from(ordinal), &servers);
+        let mut host = TestHost::seeded(hedging_settings(ordinal), u64::from(ordinal), &servers);
         for _ in 0..100 {
             let (request, actions) = host.new_request(1, 3, 0);
-            let out = sends(&actions).len();
-            first += out;
-            // Longer than anyone is patient, and still in time.
+            let sent = sends(&actions).len();
+            first_attempts += sent;
+            // After the time at which an attempt is hedged, and before the latency target.
             let until = host.now + 200.0;
-            let copies = sends(&host.run_timers(until)).len();
-            all += out + copies;
-            for attempt in 0..out + copies {
+            let hedged = sends(&host.run_timers(until)).len();
+            all_attempts += sent + hedged;
+            for attempt in 0..sent + hedged {
                 host.end(request, attempt as u8, Outcome::Ok, None);
             }
         }
     }
-    assert!(first > 5_000, "{first}");
-    assert!(all > first, "no copy at all: a server that hangs holds its requests for good");
-    assert!(all <= first + first / 40, "{} copies of {first}", all - first);
+    assert!(first_attempts > 5_000, "{first_attempts}");
+    assert!(
+        all_attempts > first_attempts,
+        "no hedged attempt: requests to a hung server would wait until their deadline"
+    );
+    assert!(
+        all_attempts <= first_attempts + first_attempts / 40,
+        "{} hedged attempts on top of {first_attempts}",
+        all_attempts - first_attempts
+    );
 }
