--- a/tests/health.rs
+++ b/tests/health.rs
@@ -1,4 +1,4 @@
-//! Servers that fail, hang or slow down, as one gateway can see them.
+//! Servers that fail or hang, as one gateway sees them.
 
 mod common;
 
@@ -6,81 +6,84 @@
 use springusher::*;
 use std::collections::BTreeMap;
 
-/// Asks every 20 ms for a while, with some requests in hand at a time; `answer` tells for a server and
-/// the number of its attempt how that ends, `None` for never. Returns the sends to each server.
+/// Sends `rounds` requests, one every 20 ms, of which up to 3 wait for an answer that will come. `answer` gives the
+/// outcome for a server and the number of attempts sent to it so far, `None` for no answer at all. Returns the number
+/// of attempts sent to each server.
 fn run(
     host: &mut TestHost,
     rounds: usize,
     answer: impl Fn(ServerId, usize) -> Option<Outcome>,
 ) -> BTreeMap<ServerId, usize> {
-    run_with(host, rounds, 3, answer)
+    run_with_in_flight(host, rounds, 3, answer)
 }
 
-fn run_with(
+/// Like [`run`], with `max_in_flight` requests waiting instead of 3.
+fn run_with_in_flight(
     host: &mut TestHost,
     rounds: usize,
-    in_hand: usize,
+    max_in_flight: usize,
     answer: impl Fn(ServerId, usize) -> Option<Outcome>,
 ) -> BTreeMap<ServerId, usize> {
     let mut sent = BTreeMap::new();
-    let mut hand = std::collections::VecDeque::new();
+    let mut in_flight = std::collections::VecDeque::new();
     for _ in 0..rounds {
         host.now += 20.0;
         let (id, actions) = host.new_request(1, 3, 1);
         for target in sends(&actions) {
             *sent.entry(target).or_insert(0) += 1;
             if let Some(outcome) = answer(target, sent[&target]) {
-                hand.push_back((id, outcome));
+                in_flight.push_back((id, outcome));
             }
         }
-        if hand.len() > in_hand {
-            let (id, outcome) = hand.pop_front().expect("not empty");
+        if in_flight.len() > max_in_flight {
+            let (id, outcome) = in_flight.pop_front().expect("not empty");
             host.end(id, 0, outcome, None);
         }
     }
     sent
 }
 
-fn fleet() -> TestHost {
+fn host_with_six_servers() -> TestHost {
     let servers: Vec<_> = (1..=6).map(server).collect();
     TestHost::new(settings(), &servers)
 }
 
 #[test]
-fn a_hung_server_soon_gets_nothing_new() {
+fn a_hung_server_soon_gets_no_new_attempts() {
     let servers: Vec<_> = (1..=3).map(server).collect();
     let mut host = TestHost::new(Settings { gateways: 1, ..settings() }, &servers);
-    run_with(&mut host, 40, 9, |_, _| Some(Outcome::Ok));
-    let sent = run_with(&mut host, 600, 9, |server, _| (server != 1).then_some(Outcome::Ok));
+    run_with_in_flight(&mut host, 40, 9, |_, _| Some(Outcome::Ok));
+    let sent = run_with_in_flight(&mut host, 600, 9, |server, _| (server != 1).then_some(Outcome::Ok));
     assert!(sent[&1] <= 7 && sent[&2] > 100, "{sent:?}");
 }
 
 #[test]
-fn a_server_that_fails_at_once_draws_no_load() {
-    let sent =
-        run(&mut fleet(), 600, |server, _| Some(if server == 1 { Outcome::Error } else { Outcome::Ok }));
+fn a_server_that_fails_fast_attracts_no_load() {
+    let sent = run(&mut host_with_six_servers(), 600, |server, _| {
+        Some(if server == 1 { Outcome::Error } else { Outcome::Ok })
+    });
     assert!(sent[&1] < 40, "{sent:?}");
 }
 
 #[test]
-fn a_server_that_fails_half_of_its_work_gets_less() {
+fn a_server_that_fails_half_of_its_attempts_gets_fewer() {
     let flaky = |server, n: usize| Some(if server == 1 && n % 2 == 0 { Outcome::Error } else { Outcome::Ok });
-    let sent = run(&mut fleet(), 600, flaky);
+    let sent = run(&mut host_with_six_servers(), 600, flaky);
     let others = sent.values().sum::<usize>() - sent[&1];
     assert!(sent[&1] * 2 < others / 5, "{sent:?}");
 }
 
 #[test]
-fn a_fleet_that_looks_bad_as_a_whole_is_not_ejected() {
-    let mut host = fleet();
+fn a_fleet_whose_servers_all_fail_still_gets_requests() {
+    let mut host = host_with_six_servers();
     run(&mut host, 60, |_, _| Some(Outcome::Error));
     let (_, actions) = host.new_request(1, 3, 1);
     assert_eq!(sends(&actions).len(), 1);
 }
 
 #[test]
-fn ejection_and_return_are_logged() {
-    let mut host = fleet();
+fn ejection_and_recovery_are_logged() {
+    let mut host = host_with_six_servers();
     run(&mut host, 2000, |server, n| Some(if server == 1 && n < 4 { Outcome::Error } else { Outcome::Ok }));
     let lines: Vec<_> = host.actions.iter().filter(|action| matches!(action, Action::Log(_))).collect();
     assert!(
@@ -96,16 +99,16 @@
 }
 
 #[test]
-fn a_server_that_was_bad_for_a_while_is_used_again() {
-    let mut host = fleet();
+fn a_server_that_failed_for_a_while_is_used_again() {
+    let mut host = host_with_six_servers();
     run(&mut host, 300, |server, n| Some(if server == 1 && n < 40 { Outcome::Error } else { Outcome::Ok }));
     let sent = run(&mut host, 3000, |_, _| Some(Outcome::Ok));
     assert!(sent[&1] > 100, "{sent:?}");
 }
 
 #[test]
-fn requests_that_servers_find_fault_with_leave_their_standing_alone() {
-    let mut host = fleet();
+fn invalid_requests_do_not_count_against_the_servers_that_reject_them() {
+    let mut host = host_with_six_servers();
     let sent = run(&mut host, 300, |server, _| {
         Some(if server == 1 { Outcome::InvalidRequest } else { Outcome::Ok })
     });
