--- a/src/counter_limits.rs
+++ b/src/counter_limits.rs
@@ -90,8 +90,7 @@
     returns: Returns,
     /// Probability that the counter is asked.
     ask_probability: f64,
-    /// By plan: the recent shares of first requests and of client retries that the counter's buckets
-    /// admitted.
+    /// By plan: recent shares of first requests and of client retries that the counter's buckets admitted.
     admitted: Vec<[f64; 2]>,
     /// Shared wall clock minus the clock of the times passed in.
     clock_offset: Millis,
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -165,6 +165,7 @@
         }
     }
 
+    /// Share of its full capacity that a server in slow start is assumed to have now; 1 for other servers.
     fn warm_up_share(settings: &Settings, now: Millis, server: &Server) -> f64 {
         match server.entry.started_at {
             Some(at) if settings.warm_up_time > 0.0 && now < at + settings.warm_up_time => {
@@ -175,8 +176,7 @@
         }
     }
 
-    /// Response time relative to the fleet's mean. Decays towards 1, so that an avoided server is tried
-    /// again.
+    /// Response time relative to the fleet's mean; decays towards 1, so that avoided servers are tried again.
     fn slowness(clock: FleetClock, server: &Server) -> f64 {
         if server.slowness == 1.0 {
             // Skips the exponential: in a large fleet most servers never got an attempt from this gateway.
@@ -196,6 +196,8 @@
         self.servers.get(&id).is_none_or(|server| Fleet::silence(clock, server) > HUNG_AFTER)
     }
 
+    /// Also true after the ejection while an attempt is in flight: until one succeeds, the server gets one at
+    /// a time.
     fn is_ejected(now: Millis, server: &Server) -> bool {
         now < server.ejected_until
             || (server.failures_in_row >= FAILURES_TO_EJECT && !server.in_flight.is_empty())
