--- a/fault-soak/src/gateway.rs
+++ b/fault-soak/src/gateway.rs
@@ -1,4 +1,4 @@
-//! Gateway processes: their configuration, starts, signals and ends.
+//! Gateway processes: configuration, start, signals and exit.
 
 use crate::event_log::{EventLog, Incarnation, Millis};
 use crate::http::Reader;
@@ -22,22 +22,24 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-/// New connections go on coming for so long after SIGTERM.
+/// How long clients go on opening new connections to a gateway after SIGTERM.
 pub const CONNECTS_AFTER_TERM: Millis = 300.0;
-/// The longest deadline that counts for when SIGKILL comes, and how much later than that it comes.
-const LONGEST_COUNTED: Millis = 3000.0;
-const KILL_AFTER: Millis = 700.0;
-/// One whose log nobody reads is killed so much later: that it does not end must not be for another reason.
-const MORE_FOR_LOG_UNREAD: Millis = 3000.0;
-/// After it was held up it runs at least this long.
+/// The longest deadline that delays SIGKILL after SIGTERM.
+const MAX_COUNTED_DEADLINE: Millis = 3000.0;
+/// How long after that deadline SIGKILL follows.
+const KILL_AFTER_DEADLINE: Millis = 700.0;
+/// SIGKILL comes this much later if the log is not read, so that only the unread log can be the reason why the gateway
+/// has not exited.
+const EXTRA_WITH_UNREAD_LOG: Millis = 3000.0;
+/// How long a gateway runs at least between two pauses.
 const PAUSE_GAP: Duration = Duration::from_millis(300);
-/// A gateway that is not ready by then is given up.
-const READY_WITHIN: Duration = Duration::from_secs(30);
+/// How long the start of a gateway waits until it is ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// One gateway, over all its lives.
+/// One gateway with all its incarnations, of which at most one runs at a time.
 #[derive(Debug)]
 pub struct Gateway {
-    /// Its number.
+    /// Its index.
     pub index: usize,
     /// Where it listens.
     pub address: SocketAddr,
@@ -45,60 +47,61 @@
     control: Control,
     program: PathBuf,
     shim: Option<PathBuf>,
-    config: PathBuf,
-    log: PathBuf,
-    state: Mutex<Process>,
-    /// Held by whoever ends it and starts it again.
+    config_file: PathBuf,
+    log_file: PathBuf,
+    process: Mutex<Process>,
+    /// Locked while the gateway is being restarted.
     pub restarting: tokio::sync::Mutex<()>,
-    /// Held by whoever has stopped it.
+    /// Locked while the process is paused, and for the gap after that.
     pausing: tokio::sync::Mutex<()>,
-    /// The number of the life that is over last, plus one.
-    ended: watch::Sender<usize>,
+    /// The number of incarnations that have exited.
+    exited: watch::Sender<usize>,
 }
 
+/// The running process; the default if none runs.
 #[derive(Debug, Default)]
 struct Process {
     pid: Option<Pid>,
     incarnation: usize,
     ready: bool,
-    terminated: Option<Millis>,
+    term_sent_at: Option<Millis>,
     log_unread: bool,
 }
 
-/// Whether a gateway can be asked.
+/// How clients can use a gateway that is ready.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Availability {
-    /// Which life of it runs.
+    /// The incarnation that runs.
     pub incarnation: usize,
-    /// Whether new connections go to it.
+    /// Whether clients may open new connections to it.
     pub accepts_connections: bool,
 }
 
-/// Who takes what a gateway logs.
+/// Where a gateway's log goes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LogTarget {
-    /// Its file.
+    /// To the gateway's log file.
     File,
-    /// A pipe that fills up.
+    /// To a pipe that is never read and so fills up.
     UnreadPipe,
 }
 
-/// What a gateway's configuration says beside the site's settings.
+/// The peers in a gateway's configuration.
 #[derive(Debug, Clone)]
 pub struct PeerConfig {
-    /// Where discovery is.
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// Where the counter is.
+    /// The address of the counter.
     pub counter: SocketAddr,
-    /// The list as the gateway last held it.
-    pub known: Value,
+    /// The server list that the gateway starts with.
+    pub known_servers: Value,
 }
 
 impl Gateway {
-    /// A gateway that is not running yet, with its files in `folder`.
+    /// Creates a gateway that is not running yet, with its files in `folder`.
     ///
     /// # Errors
-    /// What the system says of the files.
+    /// If a file cannot be created or there is no free port.
     pub fn new(
         index: usize,
         event_log: Arc<EventLog>,
@@ -106,11 +109,11 @@
         shim: Option<&Path>,
         folder: &Path,
     ) -> io::Result<Gateway> {
-        // Gateways keep their ports over their lives; nothing else takes one at an address of its own.
+        // A gateway keeps its port over all incarnations. It has an IP address of its own, so the port stays free.
         let ip = Ipv4Addr::new(127, 87, (std::process::id() % 250) as u8, (index + 1) as u8);
         let address = std::net::TcpListener::bind((ip, 0))?.local_addr()?;
         let log = folder.join(format!("gateway-{index}.log"));
-        // Each life writes on behind the one before; an earlier run's log is of no use.
+        // All incarnations append to one log; the log of an earlier run is emptied.
         File::create(&log)?;
         Ok(Gateway {
             index,
@@ -119,12 +122,12 @@
             control: Control::create(folder.join(format!("shim-{index}.control")))?,
             program: program.to_path_buf(),
             shim: shim.map(Path::to_path_buf),
-            config: folder.join(format!("gateway-config-{index}.json")),
-            log,
-            state: Mutex::new(Process::default()),
+            config_file: folder.join(format!("gateway-config-{index}.json")),
+            log_file: log,
+            process: Mutex::new(Process::default()),
             restarting: tokio::sync::Mutex::new(()),
             pausing: tokio::sync::Mutex::new(()),
-            ended: watch::Sender::new(0),
+            exited: watch::Sender::new(0),
         })
     }
 
@@ -133,36 +136,37 @@
         self.control.set(faults);
     }
 
-    /// Whether it can be asked.
+    /// How clients can use the gateway now; `None` if it is not ready.
     pub fn availability(&self) -> Option<Availability> {
-        let state = self.state.lock().expect("lock not poisoned");
-        if !state.ready {
+        let process = self.process.lock().expect("lock not poisoned");
+        if !process.ready {
             return None;
         }
         let accepts_connections =
-            state.terminated.is_none_or(|at| self.event_log.now() < at + CONNECTS_AFTER_TERM);
-        Some(Availability { incarnation: state.incarnation, accepts_connections })
+            process.term_sent_at.is_none_or(|at| self.event_log.now() < at + CONNECTS_AFTER_TERM);
+        Some(Availability { incarnation: process.incarnation, accepts_connections })
     }
 
-    /// Writes its configuration and puts it into place at once.
+    /// Replaces the configuration file atomically.
     pub fn configure(&self, site: &Site, peers: &PeerConfig) {
-        let half_written = self.config.with_extension("new");
-        fs::write(&half_written, self.configuration(site, peers)).expect("the folder takes files");
-        fs::rename(&half_written, &self.config).expect("the folder takes files");
+        let new_file = self.config_file.with_extension("new");
+        fs::write(&new_file, self.configuration(site, peers)).expect("the run's folder is writable");
+        fs::rename(&new_file, &self.config_file).expect("the run's folder is writable");
     }
 
-    /// Rewrites its configuration where it stands: it is cut short until the future that this returns has ended.
+    /// Rewrites the configuration file in place: truncates it at once, and completes it when the returned future has
+    /// waited for `span`.
     pub fn configure_in_place(
         &self,
         site: &Site,
         peers: &PeerConfig,
         span: Duration,
     ) -> impl Future<Output = ()> {
-        let (path, text) = (self.config.clone(), self.configuration(site, peers));
-        fs::write(&path, &text[..text.len() / 2]).expect("the folder takes files");
+        let (path, text) = (self.config_file.clone(), self.configuration(site, peers));
+        fs::write(&path, &text[..text.len() / 2]).expect("the run's folder is writable");
         async move {
             sleep(span).await;
-            fs::write(&path, text).expect("the folder takes files");
+            fs::write(&path, text).expect("the run's folder is writable");
         }
     }
 
@@ -171,21 +175,21 @@
             "name": format!("n{}", self.index), "listen": self.address.to_string(),
             "discovery": peers.discovery.to_string(), "seed": format!("{:016x}", self.event_log.now().to_bits()),
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": site.fd_limit},
-            "counter": peers.counter.to_string(), "known": peers.known, "settings": site.settings(self.index),
+            "counter": peers.counter.to_string(), "known": peers.known_servers, "settings": site.settings(self.index),
         });
         config.to_string()
     }
 
-    /// Starts it and waits until it is ready; false if it is not within 30 s.
+    /// Starts the process and waits until it is ready; returns false if it is not ready within 30 s.
     pub async fn start(self: &Arc<Self>, peers: &PeerConfig, log: LogTarget) -> bool {
-        // Nobody reads from the other end, which stays open for as long as the process may write.
+        // The other end is never read, but stays open until the process has exited.
         let log_unread = log == LogTarget::UnreadPipe;
-        let unread = log_unread.then(|| UnixStream::pair().expect("a pair"));
+        let unread = log_unread.then(|| UnixStream::pair().expect("a socket pair can be created"));
         let log: Stdio = match &unread {
-            Some((log, _)) => OwnedFd::from(log.try_clone().expect("a descriptor")).into(),
+            Some((log, _)) => OwnedFd::from(log.try_clone().expect("a descriptor can be duplicated")).into(),
             None => {
-                let log = File::options().create(true).append(true).open(&self.log);
-                log.expect("the folder takes files").into()
+                let log = File::options().create(true).append(true).open(&self.log_file);
+                log.expect("the run's folder is writable").into()
             }
         };
         let mut command = Command::new(&self.program);
@@ -193,7 +197,7 @@
             .env("BALANCER_NAME", format!("n{}", self.index))
             .env("BALANCER_LISTEN", self.address.to_string())
             .env("BALANCER_DISCOVERY", peers.discovery.to_string())
-            .env("BALANCER_CONFIG", &self.config)
+            .env("BALANCER_CONFIG", &self.config_file)
             .env("BALANCER_TRACE", "1")
             .stdout(Stdio::null())
             .stderr(log)
@@ -201,7 +205,7 @@
         if let Some(shim) = &self.shim {
             command.env("LD_PRELOAD", shim).env("FAULT_SHIM_CONTROL", &self.control.path);
         }
-        let mut child = command.spawn().expect("the gateway's program can be started");
+        let mut child = command.spawn().expect("the gateway's executable can be started");
         let incarnation = Incarnation {
             started_at: self.event_log.now(),
             log_unread,
@@ -215,8 +219,8 @@
             records.incarnations[self.index].len() - 1
         });
         let pid = child.id().and_then(|id| Pid::from_raw(id as i32));
-        *self.state.lock().expect("lock not poisoned") =
-            Process { pid, incarnation: number, ready: false, terminated: None, log_unread };
+        *self.process.lock().expect("lock not poisoned") =
+            Process { pid, incarnation: number, ready: false, term_sent_at: None, log_unread };
         let gateway = self.clone();
         tokio::spawn(async move {
             let status = child.wait().await;
@@ -226,10 +230,10 @@
             gateway
                 .event_log
                 .with(|records| records.incarnations[gateway.index][number].exited = Some((now, success)));
-            *gateway.state.lock().expect("lock not poisoned") = Process::default();
-            gateway.ended.send_replace(number + 1);
+            *gateway.process.lock().expect("lock not poisoned") = Process::default();
+            gateway.exited.send_replace(number + 1);
         });
-        let ready = timeout(READY_WITHIN, async {
+        let ready = timeout(READY_TIMEOUT, async {
             while !self.is_ready().await {
                 sleep(Duration::from_millis(10)).await;
             }
@@ -239,7 +243,7 @@
         }
         let now = self.event_log.now();
         self.event_log.with(|records| records.incarnations[self.index][number].ready_at = Some(now));
-        self.state.lock().expect("lock not poisoned").ready = true;
+        self.process.lock().expect("lock not poisoned").ready = true;
         true
     }
 
@@ -254,9 +258,10 @@
             .is_ok_and(|answer| answer.is_some_and(|got| got.status() == 200))
     }
 
-    /// Whether it takes a signal by now, or would still be ended by it: before its `main` no program can.
+    /// Whether the process has installed a handler for the signal. Until it has, the signal would end it, as it would end
+    /// any program before its `main`.
     pub fn catches(&self, signal: Signal) -> bool {
-        let Some(pid) = self.state.lock().expect("lock not poisoned").pid else { return false };
+        let Some(pid) = self.process.lock().expect("lock not poisoned").pid else { return false };
         let status = fs::read_to_string(format!("/proc/{}/status", pid.as_raw_nonzero()));
         let status = status.unwrap_or_default();
         let caught = status.lines().find_map(|line| line.strip_prefix("SigCgt:"));
@@ -264,17 +269,17 @@
         caught & (1 << (signal.as_raw() - 1)) != 0
     }
 
-    /// Sends a signal.
+    /// Sends a signal to the process, if it runs.
     pub fn signal(&self, signal: Signal) {
-        let pid = self.state.lock().expect("lock not poisoned").pid;
+        let pid = self.process.lock().expect("lock not poisoned").pid;
         if let Some(pid) = pid {
             let _ = kill_process(pid, signal);
         }
     }
 
-    /// Kills it without a word and waits for its end.
+    /// Sends SIGKILL and waits for the exit.
     pub async fn kill(&self) {
-        let Some(incarnation) = self.running_life() else { return };
+        let Some(incarnation) = self.running_incarnation() else { return };
         let now = self.event_log.now();
         self.event_log.with(|records| {
             if let Some(incarnation) = records.incarnations[self.index].get_mut(incarnation) {
@@ -282,17 +287,17 @@
             }
         });
         self.signal(Signal::KILL);
-        self.wait_for_end(incarnation).await;
+        self.wait_for_exit(incarnation).await;
     }
 
-    /// Tells it to end, and kills it if it has not by the time that the rules name.
+    /// Sends SIGTERM, and SIGKILL if the process has not exited in the time that it has for open requests.
     pub async fn terminate(&self, longest_deadline: Millis) {
-        let Some(incarnation) = self.running_life() else { return };
+        let Some(incarnation) = self.running_incarnation() else { return };
         let now = self.event_log.now();
         let log_unread = {
-            let mut state = self.state.lock().expect("lock not poisoned");
-            state.terminated = Some(now);
-            state.log_unread
+            let mut process = self.process.lock().expect("lock not poisoned");
+            process.term_sent_at = Some(now);
+            process.log_unread
         };
         self.event_log.with(|records| {
             if let Some(incarnation) = records.incarnations[self.index].get_mut(incarnation) {
@@ -300,15 +305,16 @@
             }
         });
         self.signal(Signal::TERM);
-        let more = if log_unread { MORE_FOR_LOG_UNREAD } else { 0.0 };
-        let grace = longest_deadline.min(LONGEST_COUNTED) + KILL_AFTER + more;
+        let extra = if log_unread { EXTRA_WITH_UNREAD_LOG } else { 0.0 };
+        let grace = longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_AFTER_DEADLINE + extra;
         let grace = Duration::from_secs_f64(grace / 1000.0);
-        if timeout(grace, self.wait_for_end(incarnation)).await.is_err() {
+        if timeout(grace, self.wait_for_exit(incarnation)).await.is_err() {
             self.kill().await;
         }
     }
 
-    /// Stops the process and lets it go on. It is held up by one trouble at a time: no rule bears more.
+    /// Stops the process for `span` and lets it continue. Does nothing if it is paused already, as the rules allow for one
+    /// pause at a time only.
     pub async fn pause(&self, span: Duration) {
         let Ok(_pausing) = self.pausing.try_lock() else { return };
         self.signal(Signal::STOP);
@@ -317,12 +323,12 @@
         sleep(PAUSE_GAP).await;
     }
 
-    fn running_life(&self) -> Option<usize> {
-        let state = self.state.lock().expect("lock not poisoned");
-        state.pid.map(|_| state.incarnation)
+    fn running_incarnation(&self) -> Option<usize> {
+        let process = self.process.lock().expect("lock not poisoned");
+        process.pid.map(|_| process.incarnation)
     }
 
-    async fn wait_for_end(&self, incarnation: usize) {
-        let _ = self.ended.subscribe().wait_for(|ended| *ended > incarnation).await;
+    async fn wait_for_exit(&self, incarnation: usize) {
+        let _ = self.exited.subscribe().wait_for(|exited| *exited > incarnation).await;
     }
 }
--- a/fault-soak/src/run.rs
+++ b/fault-soak/src/run.rs
@@ -226,7 +226,7 @@
         PeerConfig {
             discovery: self.discovery_addresses.lock().expect("lock not poisoned")[gateway],
             counter: self.counter().proxy.address,
-            known: self.discovery.list(gateway),
+            known_servers: self.discovery.list(gateway),
         }
     }
 
