--- a/fault-soak/src/discovery.rs
+++ b/fault-soak/src/discovery.rs
@@ -1,5 +1,6 @@
-//! Discovery: the true server list, an agent for each gateway that hears of its changes late, and the calls
-//! that gateways make. An agent may be silent, forget open watches, reset them, or write in small pieces.
+//! The stand-in for discovery: the true server list, an agent for each gateway that receives its changes with a delay,
+//! and the HTTP interface for gateways. An agent may stop answering, never answer open watches, reset them, or write in
+//! small fragments.
 
 use crate::event_log::{EventLog, Millis, RemovalNotice, StartNotice};
 use crate::http::{Message, Reader};
@@ -17,19 +18,19 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-/// State of a server on the list.
+/// The state of a server on the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum State {
     /// Takes requests.
     Ready,
-    /// Finishes what it has.
+    /// Finishes its open requests and takes no new ones.
     Draining,
-    /// Removed.
+    /// Removed from the list.
     Gone,
 }
 
 impl State {
-    fn word(self) -> &'static str {
+    fn name(self) -> &'static str {
         match self {
             State::Ready => "ready",
             State::Draining => "draining",
@@ -38,143 +39,148 @@
     }
 }
 
-/// One line of the list.
+/// An entry of the server list, or a change of one.
 #[derive(Debug, Clone)]
 pub struct Entry {
-    /// The server.
+    /// The server's uid.
     pub uid: String,
-    /// Where it is.
+    /// Its address.
     pub endpoint: SocketAddr,
-    /// The area it stands in.
+    /// Its zone.
     pub zone: usize,
     /// Its state.
     pub state: State,
-    /// Unix time of its latest start, milliseconds; 0 for long ago.
+    /// The Unix time of its latest start in milliseconds; 0 if it started long ago.
     pub boot_ms: i64,
 }
 
 impl Entry {
     fn json(&self) -> Value {
         json!({"uid": self.uid, "endpoint": self.endpoint.to_string(), "az": zone_name(self.zone), "model": "m", "pod_group": 0,
-               "state": self.state.word(), "capacity_hint": 1.0, "boot_ms": self.boot_ms})
+               "state": self.state.name(), "capacity_hint": 1.0, "boot_ms": self.boot_ms})
     }
 }
 
-/// How agents behave.
+/// How an agent behaves.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct AgentBehaviour {
-    /// Answers nobody and learns nothing.
+    /// Neither answers requests nor receives changes of the list.
     pub down: bool,
-    /// Writes answers in pieces of so many bytes; 0: at once.
+    /// The size of the fragments in which responses are written, in bytes; 0 to write them at once.
     pub fragment_size: usize,
-    /// Writes indented lists.
+    /// Responses are indented JSON.
     pub indented: bool,
-    /// Whole lists leave out what drains, and changes often come as whole lists.
+    /// Full lists leave out draining servers, and changes are sent as full lists.
     pub full_lists: bool,
 }
 
 #[derive(Debug)]
 struct Agent {
-    /// How much of the history it has.
-    has: watch::Sender<usize>,
+    /// The revision of the list that it has received: the length of that part of the history.
+    revision: watch::Sender<usize>,
     behaviour: watch::Sender<AgentBehaviour>,
-    /// Counts the times at which open watches fell silent, and were reset.
+    /// Counts how often the open watches were silenced for good.
     silences: watch::Sender<u64>,
+    /// Counts how often the open watches were reset.
     resets: watch::Sender<u64>,
-    /// Ends the accepting at the present address.
+    /// Stops the listener at the current address.
     stop: Mutex<Option<watch::Sender<bool>>>,
-    /// Changes that it has had since then count as told from this moment at the earliest.
-    notified_from: Mutex<Millis>,
+    /// The gateway counts as notified of changes at this time at the earliest, as it takes time to connect to discovery
+    /// at a new address.
+    not_notified_before: Mutex<Millis>,
 }
 
-/// Who answers gateways' calls, as far as the rule on what counts as told goes.
+/// How gateways get the server list, which decides when a gateway counts as notified of a change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RegistryMode {
-    /// An agent on each gateway's machine: what it has counts as told.
+    /// From an agent on the gateway's machine: the gateway counts as notified when the agent has received the change.
     Pushed,
-    /// One service for all: what was written counts as told, and after 6 s what was not.
+    /// From a service shared by all gateways: the gateway counts as notified when a response with the change has been
+    /// written, and 6 s after the change in any case.
     OnRequest,
 }
 
-/// After so long what a shared service has counts as told, heard or not.
+/// With a shared service, a gateway counts as notified of a change after this time even without a response.
 const NOTIFIED_AFTER: Millis = 6000.0;
-/// What discovery has to tell counts as told so long after SIGHUP.
+/// A SIGHUP announces that discovery has moved to a new address. A gateway counts as notified of changes this long after
+/// that at the earliest.
 const NOTIFIED_AFTER_RELOAD: Millis = 4000.0;
-/// Connections at an address that discovery left are closed after this.
-const OLD_ADDRESS_LIFE: Duration = Duration::from_millis(1500);
+/// Connections at the old address of discovery are closed this long after the move.
+const OLD_CONNECTIONS_CLOSE_AFTER: Duration = Duration::from_millis(1500);
 
-/// Discovery's handle.
+/// The discovery stand-in.
 #[derive(Debug)]
 pub struct Discovery {
     event_log: Arc<EventLog>,
     mode: RegistryMode,
+    /// All changes of the list; the revision of a change is its index plus one.
     history: Mutex<Vec<Entry>>,
-    /// Starts that gateways were told of, by gateway and place in the history.
-    start_notices: Mutex<HashSet<(usize, usize)>>,
+    /// The starts that gateways were notified of, by gateway and index in the history.
+    recorded_starts: Mutex<HashSet<(usize, usize)>>,
     agents: Vec<Agent>,
 }
 
 impl Discovery {
-    /// Discovery with an agent for each gateway and an empty list.
+    /// Creates discovery with an agent for each gateway and an empty list.
     pub fn new(event_log: Arc<EventLog>, mode: RegistryMode, gateways: usize) -> Arc<Discovery> {
         let agent = || Agent {
-            has: watch::Sender::new(0),
+            revision: watch::Sender::new(0),
             behaviour: watch::Sender::new(AgentBehaviour::default()),
             silences: watch::Sender::new(0),
             resets: watch::Sender::new(0),
             stop: Mutex::new(None),
-            notified_from: Mutex::new(0.0),
+            not_notified_before: Mutex::new(0.0),
         };
         let agents = (0..gateways).map(|_| agent()).collect();
-        let (history, start_notices) = (Mutex::default(), Mutex::default());
-        Arc::new(Discovery { event_log, mode, history, start_notices, agents })
+        let (history, recorded_starts) = (Mutex::default(), Mutex::default());
+        Arc::new(Discovery { event_log, mode, history, recorded_starts, agents })
     }
 
-    /// Changes the list; each agent hears of it after its part of `lag`.
-    pub fn publish(self: &Arc<Self>, entry: Entry, lag: Duration) {
-        let place = {
+    /// Changes the list. The agents receive the change one after another, evenly spread over `max_delay`.
+    pub fn publish(self: &Arc<Self>, entry: Entry, max_delay: Duration) {
+        let revision = {
             let mut history = self.history.lock().expect("lock not poisoned");
             history.push(entry);
             history.len()
         };
         for gateway in 0..self.agents.len() {
-            let part = (gateway + 1) as f64 / self.agents.len() as f64;
-            let (discovery, lag) = (self.clone(), lag.mul_f64(part));
+            let share = (gateway + 1) as f64 / self.agents.len() as f64;
+            let (discovery, delay) = (self.clone(), max_delay.mul_f64(share));
             tokio::spawn(async move {
-                sleep(lag).await;
+                sleep(delay).await;
                 let mut behaviour = discovery.agents[gateway].behaviour.subscribe();
                 let _ = behaviour.wait_for(|behaviour| !behaviour.down).await;
-                discovery.receive(gateway, place);
+                discovery.receive(gateway, revision);
             });
         }
     }
 
-    /// Puts an entry on the list of all agents at once, before the run begins.
+    /// Adds an entry that all agents have from the start of the run.
     pub fn publish_at_start(&self, entry: Entry) {
-        let place = {
+        let revision = {
             let mut history = self.history.lock().expect("lock not poisoned");
             history.push(entry);
             history.len()
         };
         for agent in &self.agents {
-            agent.has.send_replace(place);
+            agent.revision.send_replace(revision);
         }
     }
 
-    fn receive(self: &Arc<Self>, gateway: usize, place: usize) {
+    fn receive(self: &Arc<Self>, gateway: usize, revision: usize) {
         let agent = &self.agents[gateway];
-        let before = *agent.has.borrow();
-        if place <= before {
+        let before = *agent.revision.borrow();
+        if revision <= before {
             return;
         }
-        agent.has.send_replace(place);
+        agent.revision.send_replace(revision);
         if self.mode == RegistryMode::Pushed {
-            self.record_notices(gateway, before, place);
+            self.record_notices(gateway, before, revision);
             return;
         }
         let discovery = self.clone();
         tokio::spawn(async move {
-            // An outage within the time begins it anew, as the service could not be reached.
+            // An outage of the service restarts the time, as the gateway could not reach it.
             let mut behaviour = discovery.agents[gateway].behaviour.subscribe();
             loop {
                 let _ = behaviour.wait_for(|behaviour| !behaviour.down).await;
@@ -185,19 +191,20 @@
                     break;
                 }
             }
-            discovery.record_notices(gateway, before, place);
+            discovery.record_notices(gateway, before, revision);
         });
     }
 
-    /// Enters what a gateway counts as told of.
+    /// Records that a gateway counts as notified of the changes between two revisions.
     fn record_notices(&self, gateway: usize, from: usize, to: usize) {
-        let notified_from = *self.agents[gateway].notified_from.lock().expect("lock not poisoned");
-        let notified_at = self.event_log.now().max(notified_from);
+        let not_notified_before =
+            *self.agents[gateway].not_notified_before.lock().expect("lock not poisoned");
+        let notified_at = self.event_log.now().max(not_notified_before);
         let history = self.history.lock().expect("lock not poisoned");
-        let mut start_notices = self.start_notices.lock().expect("lock not poisoned");
-        for (place, entry) in history.iter().enumerate().take(to).skip(from) {
+        let mut recorded_starts = self.recorded_starts.lock().expect("lock not poisoned");
+        for (index, entry) in history.iter().enumerate().take(to).skip(from) {
             let started = entry.state == State::Ready && entry.boot_ms != 0;
-            if started && start_notices.insert((gateway, place)) {
+            if started && recorded_starts.insert((gateway, index)) {
                 let notice = StartNotice { gateway, server: entry.uid.clone(), notified_at };
                 self.event_log.with(|records| records.start_notices.push(notice));
             }
@@ -217,37 +224,37 @@
         }
     }
 
-    /// Changes how agents behave.
+    /// Changes how all agents behave.
     pub fn change_behaviour(&self, change: impl Fn(&mut AgentBehaviour)) {
         for agent in &self.agents {
             agent.behaviour.send_modify(&change);
         }
     }
 
-    /// All open watches fall silent for good.
+    /// Leaves all open watches without an answer for good.
     pub fn silence_watches(&self) {
         for agent in &self.agents {
             agent.silences.send_modify(|count| *count += 1);
         }
     }
 
-    /// All open watches are reset.
+    /// Resets the connections of all open watches.
     pub fn reset_watches(&self) {
         for agent in &self.agents {
             agent.resets.send_modify(|count| *count += 1);
         }
     }
 
-    /// The list as a gateway's agent has it.
+    /// The list as a gateway's agent has received it.
     pub fn list(&self, gateway: usize) -> Value {
-        let has = *self.agents[gateway].has.borrow();
-        self.whole(has, false)
+        let revision = *self.agents[gateway].revision.borrow();
+        self.full_list(revision, false)
     }
 
-    fn whole(&self, has: usize, without_draining: bool) -> Value {
+    fn full_list(&self, revision: usize, without_draining: bool) -> Value {
         let history = self.history.lock().expect("lock not poisoned");
         let mut entries = BTreeMap::new();
-        for entry in &history[..has] {
+        for entry in &history[..revision] {
             entries.insert(entry.uid.clone(), entry.clone());
         }
         let shown = |entry: &&Entry| match entry.state {
@@ -256,24 +263,24 @@
             State::Gone => false,
         };
         let targets: Vec<Value> = entries.values().filter(shown).map(Entry::json).collect();
-        json!({"rev": has, "all": true, "targets": targets})
+        json!({"rev": revision, "all": true, "targets": targets})
     }
 
-    fn changes(&self, after: usize, has: usize) -> Value {
+    fn changes(&self, after: usize, revision: usize) -> Value {
         let history = self.history.lock().expect("lock not poisoned");
-        let targets: Vec<Value> = history[after..has].iter().map(Entry::json).collect();
-        json!({"rev": has, "all": false, "targets": targets})
+        let targets: Vec<Value> = history[after..revision].iter().map(Entry::json).collect();
+        json!({"rev": revision, "all": false, "targets": targets})
     }
 
-    /// Listens for a gateway at a new address; what listened before accepts no more.
+    /// Starts to listen for a gateway at a new address, and stops to at the previous one.
     pub async fn listen(self: &Arc<Self>, gateway: usize) -> SocketAddr {
-        let listener = listen(Ipv4Addr::new(127, 88, 0, 4)).expect("a free port");
+        let listener = listen(Ipv4Addr::new(127, 88, 0, 4)).expect("a listener can be opened on loopback");
         let address = listener.local_addr().expect("a bound socket has an address");
         let (stop, mut stopped) = watch::channel(false);
         let before = self.agents[gateway].stop.lock().expect("lock not poisoned").replace(stop);
         if let Some(before) = before {
             before.send_replace(true);
-            *self.agents[gateway].notified_from.lock().expect("lock not poisoned") =
+            *self.agents[gateway].not_notified_before.lock().expect("lock not poisoned") =
                 self.event_log.now() + NOTIFIED_AFTER_RELOAD;
         }
         let discovery = self.clone();
@@ -289,7 +296,7 @@
                 }
             }
             drop(listener);
-            sleep(OLD_ADDRESS_LIFE).await;
+            sleep(OLD_CONNECTIONS_CLOSE_AFTER).await;
         });
         address
     }
@@ -297,14 +304,16 @@
     async fn serve(self: Arc<Self>, gateway: usize, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let mut reader = Reader::new(stream);
-        while let Ok(call) = reader.read_message().await {
+        while let Ok(request) = reader.read_message().await {
             if self.agents[gateway].behaviour.borrow().down {
-                // What was asked in the silence is never answered.
+                // A request that comes while the agent is down is never answered.
                 std::future::pending::<()>().await;
             }
-            let Some((answer, has)) = self.answer(gateway, &call, &reader.stream).await else { return };
-            // What is written to a process that has ended tells the next one nothing.
-            if has_ended(&reader.stream) {
+            let Some((list, revision)) = self.response(gateway, &request, &reader.stream).await else {
+                return;
+            };
+            // A response to a process that has exited does not notify the gateway's next incarnation.
+            if is_closed(&reader.stream) {
                 return;
             }
             let behaviour = *self.agents[gateway].behaviour.borrow();
@@ -312,15 +321,16 @@
                 std::future::pending::<()>().await;
             }
             let text = if behaviour.indented {
-                serde_json::to_string_pretty(&answer).expect("a list is JSON")
+                serde_json::to_string_pretty(&list).expect("a JSON value can be serialized")
             } else {
-                answer.to_string()
+                list.to_string()
             };
             let bytes =
                 format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len()).into_bytes();
-            let piece = if behaviour.fragment_size == 0 { bytes.len() } else { behaviour.fragment_size };
-            for part in bytes.chunks(piece) {
-                if reader.stream.write_all(part).await.is_err() {
+            let fragment_size =
+                if behaviour.fragment_size == 0 { bytes.len() } else { behaviour.fragment_size };
+            for fragment in bytes.chunks(fragment_size) {
+                if reader.stream.write_all(fragment).await.is_err() {
                     return;
                 }
                 if behaviour.fragment_size > 0 {
@@ -328,51 +338,56 @@
                 }
             }
             if self.mode == RegistryMode::OnRequest {
-                self.record_notices(gateway, 0, has);
+                self.record_notices(gateway, 0, revision);
             }
         }
     }
 
-    /// The answer to a call, and how much of the history it tells; `None` if the connection was reset.
-    async fn answer(&self, gateway: usize, call: &Message, stream: &TcpStream) -> Option<(Value, usize)> {
+    /// The list to respond with, and its revision; `None` if the connection was reset.
+    async fn response(
+        &self,
+        gateway: usize,
+        request: &Message,
+        stream: &TcpStream,
+    ) -> Option<(Value, usize)> {
         let agent = &self.agents[gateway];
-        let number = |name: &str| {
-            let (_, query) = call.path().split_once('?')?;
+        let parameter = |name: &str| {
+            let (_, query) = request.path().split_once('?')?;
             query
                 .split('&')
                 .find_map(|pair| pair.strip_prefix(name)?.strip_prefix('=')?.parse::<usize>().ok())
         };
-        let mut has = agent.has.subscribe();
-        let whole = agent.behaviour.borrow().full_lists;
-        let Some(after) = number("after") else {
-            let has = *has.borrow();
-            return Some((self.whole(has, whole), has));
+        let mut revision = agent.revision.subscribe();
+        let full_lists = agent.behaviour.borrow().full_lists;
+        let Some(after) = parameter("after") else {
+            let revision = *revision.borrow();
+            return Some((self.full_list(revision, full_lists), revision));
         };
-        let wait = Duration::from_millis(number("wait_ms").unwrap_or(0) as u64);
+        let wait = Duration::from_millis(parameter("wait_ms").unwrap_or(0) as u64);
         let (mut silences, mut resets) = (agent.silences.subscribe(), agent.resets.subscribe());
-        let news = async {
-            let _ = timeout(wait, has.wait_for(|has| *has > after)).await;
+        let update = async {
+            let _ = timeout(wait, revision.wait_for(|revision| *revision > after)).await;
         };
         tokio::select! {
-            () = news => {}
+            () = update => {}
             _ = silences.changed() => std::future::pending().await,
             _ = resets.changed() => {
                 reset_on_close(stream);
                 return None;
             }
         }
-        let has = *agent.has.borrow();
-        let answer = if after > has || (whole && has > after) {
-            self.whole(has, whole)
+        let revision = *agent.revision.borrow();
+        let list = if after > revision || (full_lists && revision > after) {
+            self.full_list(revision, full_lists)
         } else {
-            self.changes(after, has)
+            self.changes(after, revision)
         };
-        Some((answer, has))
+        Some((list, revision))
     }
 }
 
-/// Whether the other side has closed its connection.
-fn has_ended(stream: &TcpStream) -> bool {
+/// Whether the peer has closed the connection.
+fn is_closed(stream: &TcpStream) -> bool {
     let mut byte = [0];
     let mut buffer = tokio::io::ReadBuf::new(&mut byte);
     let mut context = Context::from_waker(Waker::noop());
