--- a/fault-soak/src/server.rs
+++ b/fault-soak/src/server.rs
@@ -1,4 +1,4 @@
-//! A props server: it runs requests, and misbehaves as it is told.
+//! The stand-in for a server: it records and answers requests, with the faults that are set.
 
 use crate::event_log::{AttemptRecord, ColdStart, EventLog, Millis, RequestId};
 use crate::http::{ReadError, Reader};
@@ -15,58 +15,60 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, Instant};
 
-/// How often a server does each odd thing, from 0 to 1.
+/// The probability of each fault, from 0 to 1, and the factor on the duration of the work.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct ServerBehaviour {
-    /// Takes a request and never answers.
+    /// Runs the request and never responds.
     pub hang: f64,
-    /// Answers 500 after it ran.
+    /// Responds with 500 after the request ran.
     pub error: f64,
-    /// Turns a request away unseen.
+    /// Rejects the request with 503 before it runs.
     pub reject: f64,
     /// Resets the connection after the request ran.
     pub reset: f64,
-    /// Answers with what is no HTTP.
+    /// Responds with invalid HTTP.
     pub malformed: f64,
-    /// Answers with up to 60 KB.
+    /// Responds with a body of up to 60 KB.
     pub large_body: f64,
-    /// Sends an interim answer ahead.
+    /// Sends an interim (1xx) response first.
     pub interim: f64,
-    /// Answers without an end.
+    /// Sends a response that never ends.
     pub endless: f64,
-    /// Sends a second answer some milliseconds behind the first.
+    /// Sends a second, unrequested response some milliseconds after the first.
     pub second_response: f64,
-    /// Answers without a length and ends the connection, half of the time by a reset.
+    /// Responds without a length and ends the connection: half of the time by a close, else by a reset within the body.
     pub no_length: f64,
-    /// Closes the connection some milliseconds behind an answer.
+    /// Closes the connection some milliseconds after a response.
     pub close: f64,
-    /// Factor on the time that an answer takes.
+    /// The factor on the time that a response takes; 1 normally.
     pub work_factor: f64,
 }
 
-/// Longest pause before a connection is closed, or a second answer sent, behind an answer.
-const BEHIND_ANSWER_MS: f64 = 15.0;
-/// Mean time that an answer takes.
+/// The longest time from a response to a close of the connection or a second response.
+const MAX_FOLLOW_UP_MS: f64 = 15.0;
+/// The mean time that a response takes.
 const WORK_MS: f64 = 25.0;
 
-/// One server, at an address that stays the same.
+/// One server. Its address stays the same when it restarts, as gateways connect to its proxy.
 #[derive(Debug)]
 pub struct Server {
-    /// Its name on the list.
+    /// Its uid on the server list.
     pub uid: String,
-    /// The area it stands in.
+    /// Its zone.
     pub zone: usize,
-    /// The line to it, whose address is on the list.
+    /// The fault proxy in front of it, whose address is on the server list.
     pub proxy: Proxy,
     behaviour: Arc<Mutex<ServerBehaviour>>,
+    /// The task that accepts connections, if the server runs.
     running: Mutex<Option<JoinHandle<()>>>,
     event_log: Arc<EventLog>,
     usage: Option<Usage>,
     seed: u64,
+    /// The number of starts, mixed into the seed of each.
     starts: Mutex<u64>,
 }
 
-/// What a server tells of customers' use.
+/// How a server reports the usage of customers.
 #[derive(Debug, Clone)]
 pub struct Usage {
     /// The meter that all servers share.
@@ -76,11 +78,11 @@
 }
 
 impl Usage {
-    /// Counts a request that has come whole and returns the header that tells of its customer's use.
+    /// Counts a received request and returns the response header with its customer's usage; empty if there is none.
     fn count(&self, event_log: &EventLog, id: RequestId) -> String {
-        let asked =
+        let record =
             event_log.with(|records| records.requests.get(&id).map(|record| (record.customer, record.plan)));
-        let Some((customer, plan)) = asked else { return String::new() };
+        let Some((customer, plan)) = record else { return String::new() };
         let now = event_log.now();
         self.meter.count(id, customer, now);
         let rate = PLANS[plan].rate(self.site.quota);
@@ -92,7 +94,7 @@
 }
 
 impl Server {
-    /// A server that is not running yet.
+    /// Creates a server that is not running yet.
     pub async fn new(
         uid: String,
         zone: usize,
@@ -107,9 +109,9 @@
         Server { uid, zone, proxy, behaviour, running, event_log, usage, seed, starts }
     }
 
-    /// Starts it; `capacity` is set if it starts cold and the list tells of it.
+    /// Starts the server. A `capacity` is given if it starts cold and the server list announces its start.
     pub async fn start(&self, capacity: Option<f64>) {
-        let listener = listen(Ipv4Addr::new(127, 88, 0, 2)).expect("a free port");
+        let listener = listen(Ipv4Addr::new(127, 88, 0, 2)).expect("a listener can be opened on loopback");
         self.proxy.set_target(listener.local_addr().ok());
         let nth = {
             let mut starts = self.starts.lock().expect("lock not poisoned");
@@ -141,7 +143,7 @@
         *self.running.lock().expect("lock not poisoned") = Some(task);
     }
 
-    /// Ends it at once with all its connections.
+    /// Stops the server at once and resets all its connections.
     pub fn crash(&self) {
         self.proxy.set_target(None);
         if let Some(task) = self.running.lock().expect("lock not poisoned").take() {
@@ -150,17 +152,18 @@
         self.proxy.reset_connections();
     }
 
-    /// Changes how it behaves from the next request on.
+    /// Changes the behaviour from the next request on.
     pub fn set_behaviour(&self, behaviour: ServerBehaviour) {
         *self.behaviour.lock().expect("lock not poisoned") = behaviour;
     }
 
-    /// Where gateways reach it.
+    /// The address for gateways.
     pub fn address(&self) -> SocketAddr {
         self.proxy.address
     }
 }
 
+/// A connection from a gateway.
 struct Connection {
     uid: String,
     event_log: Arc<EventLog>,
@@ -169,27 +172,27 @@
     rng: Rand64,
 }
 
-/// What becomes of one request.
-enum Treatment {
+/// How a request is answered.
+enum Reaction {
     Hang,
     Reset,
-    /// This, and more of it again and again.
+    /// Writes these bytes again and again until the connection ends.
     Endless(Vec<u8>),
     Write {
         bytes: Vec<u8>,
-        then: Then,
+        then: FollowUp,
     },
 }
 
-/// What happens behind an answer.
-enum Then {
+/// What follows a response.
+enum FollowUp {
     KeepAlive,
     Close,
     Reset,
-    Second(Vec<u8>),
+    SecondResponse(Vec<u8>),
 }
 
-fn answer(status: &str, extra: &str, body: &str) -> Vec<u8> {
+fn response(status: &str, extra: &str, body: &str) -> Vec<u8> {
     format!("HTTP/1.1 {status}\r\n{extra}Content-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
 }
 
@@ -202,7 +205,7 @@
                 return;
             }
             let first_byte_at = self.event_log.now();
-            let place = self.event_log.begin_attempt(AttemptRecord {
+            let index = self.event_log.begin_attempt(AttemptRecord {
                 request: None,
                 server: self.uid.clone(),
                 first_byte_at,
@@ -213,142 +216,151 @@
                 finished_at: None,
                 handling: "incomplete",
             });
-            let on = self.one(&mut reader, place).await;
+            let handled = self.handle_request(&mut reader, index).await;
             let now = self.event_log.now();
-            self.event_log.update_attempt(place, |attempt| {
+            self.event_log.update_attempt(index, |attempt| {
                 attempt.finished_at.get_or_insert(now);
             });
-            if !matches!(on, Ok(true)) {
+            if !matches!(handled, Ok(true)) {
                 return;
             }
         }
     }
 
-    /// Handles one request; true if the connection goes on.
-    async fn one(&mut self, reader: &mut Reader<TcpStream>, place: usize) -> Result<bool, ReadError> {
+    /// Handles one request; returns true if the connection stays open.
+    async fn handle_request(
+        &mut self,
+        reader: &mut Reader<TcpStream>,
+        index: usize,
+    ) -> Result<bool, ReadError> {
         let message = reader.read_message().await?;
         let received_at = self.event_log.now();
         let request = message.header("x-request-id").and_then(|id| RequestId::from_str_radix(id, 16).ok());
-        let deadline = message.header("x-deadline").and_then(span);
+        let deadline = message.header("x-deadline").and_then(parse_duration);
         let keyed = message.header("idempotency-key").is_some();
-        self.event_log.update_attempt(place, |attempt| {
+        self.event_log.update_attempt(index, |attempt| {
             attempt.request = request;
             attempt.received_at = Some(received_at);
             attempt.deadline = deadline;
             attempt.keyed = keyed;
         });
         let Some(id) = request else {
-            self.event_log.update_attempt(place, |attempt| attempt.handling = "no id: 404");
-            return Ok(reader.stream.write_all(&answer("404 Not Found", "", "")).await.is_ok());
+            self.event_log.update_attempt(index, |attempt| attempt.handling = "no request id: 404");
+            return Ok(reader.stream.write_all(&response("404 Not Found", "", "")).await.is_ok());
         };
         let behaviour = *self.behaviour.lock().expect("lock not poisoned");
         if self.rng.rand_float() < behaviour.reject {
-            self.event_log.update_attempt(place, |attempt| attempt.handling = "turned away");
-            let bytes = answer("503 Service Unavailable", "X-Not-Run: 1\r\n", "");
+            self.event_log.update_attempt(index, |attempt| attempt.handling = "rejected");
+            let bytes = response("503 Service Unavailable", "X-Not-Run: 1\r\n", "");
             return Ok(reader.stream.write_all(&bytes).await.is_ok());
         }
-        self.event_log.update_attempt(place, |attempt| attempt.ran = true);
+        self.event_log.update_attempt(index, |attempt| attempt.ran = true);
         let work = WORK_MS * behaviour.work_factor * (0.3 + 1.4 * self.rng.rand_float());
-        let used = self.usage.as_ref().map_or_else(String::new, |usage| usage.count(&self.event_log, id));
-        let (name, treatment) = self.treatment(&behaviour, id, &used);
-        self.event_log.update_attempt(place, |attempt| attempt.handling = name);
-        // Whoever gives the attempt up closes the connection meanwhile.
+        let usage_header =
+            self.usage.as_ref().map_or_else(String::new, |usage| usage.count(&self.event_log, id));
+        let (handling, reaction) = self.choose_reaction(&behaviour, id, &usage_header);
+        self.event_log.update_attempt(index, |attempt| attempt.handling = handling);
+        // The connection is closed meanwhile if the gateway cancels the attempt.
         tokio::select! {
             () = sleep(Duration::from_secs_f64(work / 1000.0)) => {}
             _ = reader.wait_for_byte() => return Ok(false),
         }
-        self.carry_out(reader, treatment, place).await
+        self.react(reader, reaction, index).await
     }
 
-    fn treatment(
+    /// Draws the reaction to a request, and its description for the event log.
+    fn choose_reaction(
         &mut self,
         behaviour: &ServerBehaviour,
         id: RequestId,
-        used: &str,
-    ) -> (&'static str, Treatment) {
-        let filling =
+        usage_header: &str,
+    ) -> (&'static str, Reaction) {
+        let padding =
             if self.rng.rand_float() < behaviour.large_body { self.rng.rand_range(0..60_000) } else { 0 };
-        let body = served_body(id, &self.uid, filling as usize);
-        let good = answer("200 OK", used, &body);
-        let mut left = self.rng.rand_float();
-        let mut falls = |chance: f64| {
-            left -= chance;
-            left < 0.0
+        let body = served_body(id, &self.uid, padding as usize);
+        let good = response("200 OK", usage_header, &body);
+        let mut remainder = self.rng.rand_float();
+        let mut drawn = |probability: f64| {
+            remainder -= probability;
+            remainder < 0.0
         };
-        let write = |bytes, then| Treatment::Write { bytes, then };
-        if falls(behaviour.hang) {
-            ("hang", Treatment::Hang)
-        } else if falls(behaviour.error) {
-            ("error", write(answer("500 Internal Server Error", "", ""), Then::KeepAlive))
-        } else if falls(behaviour.reset) {
-            ("reset", Treatment::Reset)
-        } else if falls(behaviour.malformed) {
-            ("spoilt", write(b"HTTP/1.1 2x0 what\r\nContent-Length: -4\r\n\r\n".to_vec(), Then::KeepAlive))
-        } else if falls(behaviour.endless) {
+        let write = |bytes, then| Reaction::Write { bytes, then };
+        if drawn(behaviour.hang) {
+            ("hang", Reaction::Hang)
+        } else if drawn(behaviour.error) {
+            ("error", write(response("500 Internal Server Error", "", ""), FollowUp::KeepAlive))
+        } else if drawn(behaviour.reset) {
+            ("reset", Reaction::Reset)
+        } else if drawn(behaviour.malformed) {
+            (
+                "malformed",
+                write(b"HTTP/1.1 2x0 what\r\nContent-Length: -4\r\n\r\n".to_vec(), FollowUp::KeepAlive),
+            )
+        } else if drawn(behaviour.endless) {
             let head = "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n";
-            ("endless", Treatment::Endless(format!("{head}{body}").into_bytes()))
-        } else if falls(behaviour.interim) {
+            ("endless", Reaction::Endless(format!("{head}{body}").into_bytes()))
+        } else if drawn(behaviour.interim) {
             let bytes = [b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n", good.as_slice()].concat();
-            ("interim answer ahead", write(bytes, Then::KeepAlive))
-        } else if falls(behaviour.second_response) {
-            ("second answer", write(good, Then::Second(answer("200 OK", "", "of nobody"))))
-        } else if falls(behaviour.no_length / 2.0) {
-            ("no length", write(format!("HTTP/1.1 200 OK\r\n\r\n{body}").into_bytes(), Then::Close))
-        } else if falls(behaviour.no_length / 2.0) {
+            ("interim response first", write(bytes, FollowUp::KeepAlive))
+        } else if drawn(behaviour.second_response) {
+            ("second response", write(good, FollowUp::SecondResponse(response("200 OK", "", "unmatched"))))
+        } else if drawn(behaviour.no_length / 2.0) {
+            ("no length", write(format!("HTTP/1.1 200 OK\r\n\r\n{body}").into_bytes(), FollowUp::Close))
+        } else if drawn(behaviour.no_length / 2.0) {
             (
                 "no length, reset",
                 write(
                     format!("HTTP/1.1 200 OK\r\n\r\n{}", &body[..body.len() / 2]).into_bytes(),
-                    Then::Reset,
+                    FollowUp::Reset,
                 ),
             )
-        } else if falls(behaviour.close) {
-            ("answer, close", write(good, Then::Close))
+        } else if drawn(behaviour.close) {
+            ("response, close", write(good, FollowUp::Close))
         } else {
-            ("answer", write(good, Then::KeepAlive))
+            ("response", write(good, FollowUp::KeepAlive))
         }
     }
 
-    async fn carry_out(
+    async fn react(
         &mut self,
         reader: &mut Reader<TcpStream>,
-        treatment: Treatment,
-        place: usize,
+        reaction: Reaction,
+        index: usize,
     ) -> Result<bool, ReadError> {
-        let (bytes, then) = match treatment {
-            Treatment::Hang => {
+        let (bytes, then) = match reaction {
+            Reaction::Hang => {
                 let _ = reader.wait_for_byte().await;
                 return Ok(false);
             }
-            Treatment::Endless(bytes) => {
+            Reaction::Endless(bytes) => {
                 while reader.stream.write_all(&bytes).await.is_ok() {
                     sleep(Duration::from_millis(5)).await;
                 }
                 return Ok(false);
             }
-            Treatment::Reset => {
+            Reaction::Reset => {
                 reset_on_close(&reader.stream);
                 return Ok(false);
             }
-            Treatment::Write { bytes, then } => (bytes, then),
+            Reaction::Write { bytes, then } => (bytes, then),
         };
         let written = reader.stream.write_all(&bytes).await.is_ok();
         let now = self.event_log.now();
-        self.event_log.update_attempt(place, |attempt| attempt.finished_at = Some(now));
-        let behind = Duration::from_secs_f64(BEHIND_ANSWER_MS * self.rng.rand_float() / 1000.0);
+        self.event_log.update_attempt(index, |attempt| attempt.finished_at = Some(now));
+        let delay = Duration::from_secs_f64(MAX_FOLLOW_UP_MS * self.rng.rand_float() / 1000.0);
         match then {
-            Then::KeepAlive => Ok(written),
-            Then::Close => {
-                sleep(behind).await;
+            FollowUp::KeepAlive => Ok(written),
+            FollowUp::Close => {
+                sleep(delay).await;
                 Ok(false)
             }
-            Then::Reset => {
-                sleep(behind).await;
+            FollowUp::Reset => {
+                sleep(delay).await;
                 reset_on_close(&reader.stream);
                 Ok(false)
             }
-            Then::Second(more) => {
-                let until = Instant::now() + behind;
+            FollowUp::SecondResponse(more) => {
+                let until = Instant::now() + delay;
                 tokio::time::sleep_until(until).await;
                 Ok(reader.stream.write_all(&more).await.is_ok())
             }
@@ -356,19 +368,19 @@
     }
 }
 
-/// The body of a good answer: it begins and ends with the request's id.
-pub fn served_body(id: RequestId, server: &str, filling: usize) -> String {
-    format!("{id:016x} served by {server} {} {id:016x}", "x".repeat(filling))
+/// The body of a valid response: it begins and ends with the request's id.
+pub fn served_body(id: RequestId, server: &str, padding: usize) -> String {
+    format!("{id:016x} served by {server} {} {id:016x}", "x".repeat(padding))
 }
 
-/// Whether a body is that of a good answer to this request, from its first byte to its last.
+/// Whether this is a complete body of a valid response to the request.
 pub fn is_served_body(id: RequestId, body: &[u8]) -> bool {
-    let name = format!("{id:016x}");
-    body.len() > 2 * name.len() && body.starts_with(name.as_bytes()) && body.ends_with(name.as_bytes())
+    let id = format!("{id:016x}");
+    body.len() > 2 * id.len() && body.starts_with(id.as_bytes()) && body.ends_with(id.as_bytes())
 }
 
-/// A length of time as `X-Deadline` tells it.
-pub fn span(text: &str) -> Option<Millis> {
+/// Parses a duration in the format of `X-Deadline`: a number of milliseconds with `m`, or of microseconds with `u`.
+pub fn parse_duration(text: &str) -> Option<Millis> {
     if let Some(number) = text.strip_suffix('m') {
         return number.parse().ok();
     }
