--- a/fault-soak/src/counter.rs
+++ b/fault-soak/src/counter.rs
@@ -1,4 +1,4 @@
-//! The shared counter: it adds to named numbers, and misbehaves as it is told.
+//! The stand-in for the shared counter: it adds to named numbers that expire, with the fault that is set.
 
 use crate::listener::listen;
 use std::collections::HashMap;
@@ -9,55 +9,55 @@
 use tokio::net::TcpStream;
 use tokio::time::{timeout, Instant};
 
-/// What the counter does with calls.
+/// What the counter does with requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum CounterBehaviour {
-    /// Adds and answers.
+    /// Adds and responds.
     #[default]
     Normal,
-    /// Turns calls away.
+    /// Rejects requests.
     Busy,
-    /// Adds and never answers.
+    /// Adds and never responds.
     Silent,
-    /// Adds and answers without a number.
+    /// Adds and responds without a number.
     Malformed,
-    /// Closes connections.
+    /// Closes the connection without a response.
     Disconnect,
 }
 
-/// A connection that has stood idle for so long is closed.
-const IDLE: Duration = Duration::from_secs(2);
+/// Connections that have been idle for this long are closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 
 #[derive(Debug, Clone, Copy)]
 struct Number {
     total: f64,
-    until: Instant,
+    expires_at: Instant,
 }
 
-/// The counter's handle.
+/// The counter stand-in.
 #[derive(Debug)]
 pub struct Counter {
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     behaviour: Arc<Mutex<CounterBehaviour>>,
 }
 
 impl Counter {
-    /// Starts a counter.
+    /// Starts a counter without any numbers.
     pub async fn start() -> Counter {
-        let listener = listen(Ipv4Addr::new(127, 88, 0, 3)).expect("a free port");
+        let listener = listen(Ipv4Addr::new(127, 88, 0, 3)).expect("a listener can be opened on loopback");
         let address = listener.local_addr().expect("a bound socket has an address");
         let behaviour = Arc::new(Mutex::new(CounterBehaviour::Normal));
-        let (seen, numbers) = (behaviour.clone(), Arc::default());
+        let (shared, numbers) = (behaviour.clone(), Arc::default());
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                tokio::spawn(serve(stream, Arc::clone(&seen), Arc::clone(&numbers)));
+                tokio::spawn(serve(stream, Arc::clone(&shared), Arc::clone(&numbers)));
             }
         });
         Counter { address, behaviour }
     }
 
-    /// Changes what it does from the next call on.
+    /// Changes the behaviour from the next request on.
     pub fn set_behaviour(&self, behaviour: CounterBehaviour) {
         *self.behaviour.lock().expect("lock not poisoned") = behaviour;
     }
@@ -72,12 +72,12 @@
     let mut stream = BufReader::new(stream);
     loop {
         let mut line = String::new();
-        match timeout(IDLE, stream.read_line(&mut line)).await {
+        match timeout(IDLE_TIMEOUT, stream.read_line(&mut line)).await {
             Ok(Ok(count)) if count > 0 => {}
             _ => return,
         }
         let behaviour = *behaviour.lock().expect("lock not poisoned");
-        let answer = match behaviour {
+        let response = match behaviour {
             CounterBehaviour::Busy => Some("busy\r\n".to_string()),
             CounterBehaviour::Disconnect => return,
             CounterBehaviour::Normal | CounterBehaviour::Silent | CounterBehaviour::Malformed => {
@@ -89,27 +89,28 @@
                 }
             }
         };
-        if let Some(answer) = answer {
-            if stream.write_all(answer.as_bytes()).await.is_err() {
+        if let Some(response) = response {
+            if stream.write_all(response.as_bytes()).await.is_err() {
                 return;
             }
         }
     }
 }
 
+/// Carries out a request of the form `add NAME AMOUNT TTL_MS` and returns the new total; `None` if it is invalid.
 fn add(line: &str, numbers: &Mutex<HashMap<String, Number>>) -> Option<f64> {
     let mut words = line.split_ascii_whitespace();
     let (verb, name) = (words.next()?, words.next()?);
     let amount: f64 = words.next()?.parse().ok()?;
-    let life: u64 = words.next()?.parse().ok()?;
+    let ttl_ms: u64 = words.next()?.parse().ok()?;
     if verb != "add" || name.len() > 64 || words.next().is_some() {
         return None;
     }
     let now = Instant::now();
     let mut numbers = numbers.lock().expect("lock not poisoned");
-    numbers.retain(|_, number| number.until > now);
-    let fresh = Number { total: 0.0, until: now + Duration::from_millis(life.clamp(1, 60_000)) };
-    let number = numbers.entry(name.to_string()).or_insert(fresh);
+    numbers.retain(|_, number| number.expires_at > now);
+    let new = Number { total: 0.0, expires_at: now + Duration::from_millis(ttl_ms.clamp(1, 60_000)) };
+    let number = numbers.entry(name.to_string()).or_insert(new);
     number.total += amount;
     Some(number.total)
 }
