--- a/fault-soak/src/server.rs
+++ b/fault-soak/src/server.rs
@@ -89,7 +89,7 @@
         if rate <= 0.0 {
             return String::new();
         }
-        format!("Usage-Percent: {:.0}\r\n", self.meter.percent(customer, rate, now))
+        format!("Usage-Percent: {:.0}\r\n", self.meter.usage_percent(customer, rate, now))
     }
 }
 
