--- a/fault-soak/src/http.rs
+++ b/fault-soak/src/http.rs
@@ -1,33 +1,33 @@
-//! As much of HTTP/1.1 as the stand-ins need, with each message's bytes timed.
+//! The part of HTTP/1.1 that the stand-ins need. Callers can wait for the first byte of a message to record its time.
 
 use std::io;
 use tokio::io::{AsyncRead, AsyncReadExt};
 
-/// Most bytes of a head.
-const HEAD_LIMIT: usize = 64 * 1024;
+/// The largest head of a message, in bytes.
+const MAX_HEAD_SIZE: usize = 64 * 1024;
 
-/// One message.
+/// A request or a response.
 #[derive(Debug)]
 pub struct Message {
-    /// Its first line.
+    /// The request line or status line.
     pub start_line: String,
     headers: Vec<(String, String)>,
-    /// Its body.
+    /// The body.
     pub body: Vec<u8>,
 }
 
 impl Message {
-    /// A header's value; the name is in lower case.
+    /// The value of a header; `name` must be in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|(known, _)| known == name).map(|(_, value)| value.as_str())
+        self.headers.iter().find(|(header, _)| header == name).map(|(_, value)| value.as_str())
     }
 
-    /// The status of an answer; 0 where there is none.
+    /// The status code of a response; 0 if there is none.
     pub fn status(&self) -> u16 {
         self.start_line.split(' ').nth(1).and_then(|word| word.parse().ok()).unwrap_or(0)
     }
 
-    /// The path of a request.
+    /// The path of a request, with the query.
     pub fn path(&self) -> &str {
         self.start_line.split(' ').nth(1).unwrap_or("")
     }
@@ -41,26 +41,26 @@
     buffer: Vec<u8>,
 }
 
-/// What stood in the way of a whole message.
+/// Why no complete message was read.
 #[derive(Debug)]
 pub enum ReadError {
-    /// The stream ended in order.
+    /// The stream was closed in an orderly way.
     Closed,
     /// The stream failed.
     Failed(io::Error),
-    /// What came is no message.
+    /// The bytes are not a valid message.
     Malformed,
 }
 
 impl ReadError {
-    /// Whether the peer reset the connection.
+    /// Whether the connection failed, as by a reset.
     pub fn is_reset(&self) -> bool {
         matches!(self, ReadError::Failed(_))
     }
 }
 
 impl<S: AsyncRead + Unpin> Reader<S> {
-    /// A reader of that stream.
+    /// Creates a reader of a stream.
     pub fn new(stream: S) -> Reader<S> {
         Reader { stream, buffer: Vec::new() }
     }
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Waits until something of the next message is there.
+    /// Waits until a byte of the next message has been read.
     pub async fn wait_for_byte(&mut self) -> Result<(), ReadError> {
         if self.buffer.is_empty() {
             self.fill().await?;
@@ -81,13 +81,13 @@
         Ok(())
     }
 
-    /// Reads one whole message.
+    /// Reads the next message, with its body if it has a `Content-Length`.
     pub async fn read_message(&mut self) -> Result<Message, ReadError> {
         let end = loop {
             if let Some(end) = self.buffer.windows(4).position(|bytes| bytes == b"\r\n\r\n") {
                 break end + 4;
             }
-            if self.buffer.len() > HEAD_LIMIT {
+            if self.buffer.len() > MAX_HEAD_SIZE {
                 return Err(ReadError::Malformed);
             }
             self.fill().await?;
