--- a/fault-soak/src/listener.rs
+++ b/fault-soak/src/listener.rs
@@ -1,29 +1,29 @@
-//! Listening sockets of the stand-ins, whose queues hold whoever comes: a client that meets a full queue is late by a
-//! second, which no rule and no trouble of the rig accounts for.
+//! Listening sockets of the stand-ins, with a long queue. A connection that meets a full queue is delayed by a second,
+//! which neither the rules nor an injected fault would account for.
 
 use socket2::{Domain, Socket, Type};
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 
-/// Connections that may wait; the system holds fewer where `net.core.somaxconn` is below.
-const QUEUE: i32 = 4096;
+/// The length of the queue; the system uses less if `net.core.somaxconn` is lower.
+const BACKLOG: i32 = 4096;
 
-/// Listens on a free port of that address.
+/// Listens on a free port of the address.
 ///
 /// # Errors
-/// What the system says of it.
+/// If the socket cannot be created, bound or listened on.
 pub fn bind(ip: Ipv4Addr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
     socket.bind(&SocketAddr::from((ip, 0)).into())?;
-    socket.listen(QUEUE)?;
+    socket.listen(BACKLOG)?;
     Ok(socket.into())
 }
 
-/// The same on a runtime.
+/// Like [`bind`], with a listener of the current Tokio runtime.
 ///
 /// # Errors
-/// What the system says of it.
+/// As [`bind`], or if the socket cannot be made non-blocking.
 pub fn listen(ip: Ipv4Addr) -> io::Result<tokio::net::TcpListener> {
     let listener = bind(ip)?;
     listener.set_nonblocking(true)?;
