--- a/fault-soak/src/http.rs
+++ b/fault-soak/src/http.rs
@@ -1,4 +1,5 @@
-//! The part of HTTP/1.1 that the stand-ins need. Callers can wait for the first byte of a message to record its time.
+//! The part of HTTP/1.1 that the stand-ins need. Waiting for the first byte of a message
+//! lets them record when it began.
 
 use std::io;
 use tokio::io::{AsyncRead, AsyncReadExt};
--- a/fault-soak/src/scenario.rs
+++ b/fault-soak/src/scenario.rs
@@ -146,7 +146,7 @@
                 Faults { read_interrupted: 0.1, write_interrupted: 0.1, wait_interrupted: 0.1, ..none }
             }
             SyscallFault::ShortIo => Faults { read_short: 0.5, write_short: 0.5, ..none },
-            SyscallFault::ResetAsTimeout => Faults { broken_is_timed_out: 1.0, ..none },
+            SyscallFault::ResetAsTimeout => Faults { reset_as_timeout: 1.0, ..none },
         }
     }
 }
--- a/fault-soak/src/shim.rs
+++ b/fault-soak/src/shim.rs
@@ -1,4 +1,5 @@
-//! The control file of the preloaded library in `shim/fault_shim.c`, and the library's build.
+//! The fault shim: builds the library in `shim/fault_shim.c`, which is preloaded into gateways, and writes its control
+//! files.
 
 use std::fs::{self, File, OpenOptions};
 use std::io;
@@ -7,40 +8,41 @@
 use std::process::Command;
 
 const SOURCE: &str = include_str!("../shim/fault_shim.c");
-/// The file is one page, more than the library's `struct control` needs.
+/// One page, which is more than the library's `struct control` needs.
 const FILE_SIZE: u64 = 4096;
 
-/// Chances, from 0 to 1, that a call fails, and the shift of the wall clock.
+/// The probabilities, from 0 to 1, that system calls fail, and the offset of the wall clock.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Faults {
-    /// Added to what the system says of the wall clock, milliseconds.
+    /// Added to the system's wall clock, in milliseconds.
     pub wall_clock_offset: i64,
-    /// accept4.
+    /// `accept4` fails.
     pub accept_fails: f64,
-    /// connect.
+    /// `connect` fails.
     pub connect_fails: f64,
-    /// socket.
+    /// `socket` fails.
     pub socket_fails: f64,
-    /// recv and read end with EINTR.
+    /// `recv` and `read` fail with EINTR.
     pub read_interrupted: f64,
-    /// send, write and writev end with EINTR.
+    /// `send`, `write` and `writev` fail with EINTR.
     pub write_interrupted: f64,
-    /// recv and read bring a few bytes.
+    /// `recv` and `read` return only a few bytes.
     pub read_short: f64,
-    /// send, write and writev take a few bytes.
+    /// `send`, `write` and `writev` accept only a part of the bytes.
     pub write_short: f64,
-    /// epoll_wait ends with EINTR.
+    /// `epoll_wait` fails with EINTR.
     pub wait_interrupted: f64,
-    /// open of the configuration fails.
+    /// `open` of the configuration fails.
     pub open_fails: f64,
-    /// ECONNRESET shows as ETIMEDOUT or EHOSTUNREACH.
-    pub broken_is_timed_out: f64,
+    /// ECONNRESET is replaced by ETIMEDOUT, EHOSTUNREACH or itself, chosen at random.
+    pub reset_as_timeout: f64,
 }
 
 impl Faults {
+    /// The layout of `struct control` in `shim/fault_shim.c`.
     fn to_bytes(self) -> Vec<u8> {
         let mut bytes = (self.wall_clock_offset * 1_000_000).to_ne_bytes().to_vec();
-        let chances = [
+        let probabilities = [
             self.accept_fails,
             self.connect_fails,
             self.socket_fails,
@@ -50,10 +52,10 @@
             self.write_short,
             self.wait_interrupted,
             self.open_fails,
-            self.broken_is_timed_out,
+            self.reset_as_timeout,
         ];
-        for chance in chances {
-            bytes.extend_from_slice(&((chance * 65_536.0) as u32).to_ne_bytes());
+        for probability in probabilities {
+            bytes.extend_from_slice(&((probability * 65_536.0) as u32).to_ne_bytes());
         }
         bytes
     }
@@ -63,31 +65,31 @@
 #[derive(Debug)]
 pub struct Control {
     file: File,
-    /// Where it is.
+    /// The path of the file, for `FAULT_SHIM_CONTROL`.
     pub path: PathBuf,
 }
 
 impl Control {
-    /// A new file without faults.
+    /// Creates a control file without faults.
     ///
     /// # Errors
-    /// What the system says of the file.
+    /// If the file cannot be created.
     pub fn create(path: PathBuf) -> io::Result<Control> {
         let file = OpenOptions::new().create(true).truncate(true).read(true).write(true).open(&path)?;
         file.set_len(FILE_SIZE)?;
         Ok(Control { file, path })
     }
 
-    /// Puts faults into force at once.
+    /// Sets the faults; they apply to the next system call.
     pub fn set(&self, faults: Faults) {
-        self.file.write_all_at(&faults.to_bytes(), 0).expect("the control file takes what it has room for");
+        self.file.write_all_at(&faults.to_bytes(), 0).expect("the control file is writable");
     }
 }
 
-/// Builds the library into a folder.
+/// Builds the library in a folder and returns its path.
 ///
 /// # Errors
-/// Where there is no C compiler or the folder takes no files.
+/// If the C compiler `cc` is missing or fails, or the folder is not writable.
 pub fn build(folder: &Path) -> io::Result<PathBuf> {
     let (source, library) = (folder.join("fault_shim.c"), folder.join("fault_shim.so"));
     fs::write(&source, SOURCE)?;
@@ -100,6 +102,6 @@
     if status.success() {
         Ok(library)
     } else {
-        Err(io::Error::other("the C compiler did not build the fault shim"))
+        Err(io::Error::other("the C compiler failed to build the fault shim"))
     }
 }
