--- a/fault-soak/src/client.rs
+++ b/fault-soak/src/client.rs
@@ -96,7 +96,7 @@
     }
 
     /// Produces an open load until its end: requests arrive at random, independent of responses.
-    pub async fn load(self: Arc<Self>, seed: u64) {
+    pub async fn produce_load(self: Arc<Self>, seed: u64) {
         let mut rng = Rand64::new(u128::from(seed));
         let mut open = tokio::task::JoinSet::new();
         while self.event_log.now() < self.site.load_duration {
--- a/fault-soak/src/discovery.rs
+++ b/fault-soak/src/discovery.rs
@@ -74,6 +74,7 @@
     pub full_lists: bool,
 }
 
+/// The agent of one gateway.
 #[derive(Debug)]
 struct Agent {
     /// The revision of the list that it has received: the length of that part of the history.
--- a/fault-soak/src/gateway.rs
+++ b/fault-soak/src/gateway.rs
@@ -248,14 +248,14 @@
     }
 
     async fn is_ready(&self) -> bool {
-        let ask = async {
+        let request = async {
             let mut stream = TcpStream::connect(self.address).await.ok()?;
             stream.write_all(b"GET /healthz HTTP/1.1\r\nHost: backend.local\r\n\r\n").await.ok()?;
             Reader::new(stream).read_message().await.ok()
         };
-        timeout(Duration::from_secs(1), ask)
+        timeout(Duration::from_secs(1), request)
             .await
-            .is_ok_and(|answer| answer.is_some_and(|got| got.status() == 200))
+            .is_ok_and(|response| response.is_some_and(|response| response.status() == 200))
     }
 
     /// Whether the process has installed a handler for the signal. Until it has, the signal would end it, as it would end
--- a/fault-soak/src/invariants.rs
+++ b/fault-soak/src/invariants.rs
@@ -275,7 +275,7 @@
         request.is_some_and(|request| notified(request.gateway))
     }
 
-    /// A server that starts cold must not receive more requests within the overload window than it can bear. The rule is
+    /// A server that starts cold must not receive more requests within the overload window than it can handle. The rule is
     /// broken only if over two thirds of these requests came from gateways that had been notified of the start.
     fn check_slow_start(&self, found: &mut Vec<Violation>) {
         for start in &self.records.cold_starts {
--- a/fault-soak/src/run.rs
+++ b/fault-soak/src/run.rs
@@ -260,7 +260,7 @@
     async fn produce_load(self: Arc<Self>, seed: u64) {
         let mut loads = tokio::task::JoinSet::new();
         for gateway in &self.gateways {
-            loads.spawn(self.clients(gateway).load(seed.wrapping_mul(1000) + gateway.index as u64));
+            loads.spawn(self.clients(gateway).produce_load(seed.wrapping_mul(1000) + gateway.index as u64));
         }
         join_all(loads).await;
     }
--- a/fault-soak/src/scenario.rs
+++ b/fault-soak/src/scenario.rs
@@ -48,13 +48,13 @@
     ReloadBurst,
     /// Gateways get SIGTERM right after a new configuration, and again as soon as they have started again.
     ReloadAndTerminate(Vec<usize>),
-    /// So many servers drain and are removed; each is replaced by a new, cold one.
+    /// The given number of servers drain and are removed; each of them is replaced by a new, cold one.
     ReplaceServers(usize),
-    /// So many servers crash and start again cold.
+    /// The given number of servers crash and start again cold.
     CrashServers(usize),
-    /// So many servers cannot be reached, while their connections stay open.
+    /// The given number of servers cannot be reached, while their connections stay open.
     BlackholeServers(usize),
-    /// So many servers show a fault in how they handle requests.
+    /// The given number of servers show a fault in how they handle requests.
     FaultyServers(usize, ServerFault),
     /// Responses of all servers arrive late and in small pieces.
     SlowFragmentedResponses,
@@ -68,7 +68,7 @@
     UnusualLists,
     /// The counter shows a fault in how it handles requests.
     Counter(CounterBehaviour),
-    /// The wall clock of all gateways and of the rig is stepped by so many milliseconds.
+    /// The wall clock of all gateways and of the rig is stepped by the given milliseconds.
     WallClockStep(i64),
     /// System calls of gateways fail.
     Syscalls(Vec<usize>, SyscallFault),
