--- a/fault-soak/src/gateway.rs
+++ b/fault-soak/src/gateway.rs
@@ -151,7 +151,7 @@
     pub fn configure(&self, site: &Site, peers: &PeerConfig) {
         let new_file = self.config_file.with_extension("new");
         fs::write(&new_file, self.configuration(site, peers)).expect("the run's folder is writable");
-        fs::rename(&new_file, &self.config_file).expect("the run's folder is writable");
+        fs::rename(&new_file, &self.config_file).expect("the new configuration file can be renamed");
     }
 
     /// Rewrites the configuration file in place: truncates it at once, and completes it when the returned future has
