--- a/fault-soak/tests/configuration.rs
+++ b/fault-soak/tests/configuration.rs
@@ -18,7 +18,7 @@
     let event_log = Arc::new(EventLog::new(1));
     let gateway = Gateway::new(0, event_log, Path::new("unused"), None, &folder).expect("create the gateway");
     let address = gateway.address;
-    let peers = PeerConfig { discovery: address, counter: address, known: json!(null) };
+    let peers = PeerConfig { discovery: address, counter: address, known_servers: json!(null) };
     thread::scope(|scope| {
         for _ in 0..4 {
             scope.spawn(|| (0..WRITES).for_each(|_| gateway.configure(&site, &peers)));
