--- a/tests/gateway_process/peers.rs
+++ b/tests/gateway_process/peers.rs
@@ -240,6 +240,15 @@
     address
 }
 
+/// An address with a free port. The socket that finds the port never listens: a process that another thread starts at
+/// this moment inherits it until its exec, and would accept connections that are meant for the gateway.
+pub fn free_address(ip: Ipv4Addr) -> SocketAddr {
+    let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
+    socket.set_reuse_address(true).expect("an option");
+    socket.bind(&SocketAddr::from((ip, 0)).into()).expect("a port");
+    socket.local_addr().expect("an address").as_socket().expect("one of IPv4")
+}
+
 /// A backend to which connections are established only once `open` is called, as its backlog is full.
 pub struct FullBacklogPeer {
     pub listener: TcpListener,
@@ -288,8 +297,7 @@
     // Ports of other sockets are assigned at 127.0.0.1, so at this address none of them takes the port before the
     // gateway listens.
     let loopback_address = Ipv4Addr::new(127, COUNT.fetch_add(1, Ordering::Relaxed), high, low.max(1));
-    let listen =
-        TcpListener::bind((loopback_address, 0)).and_then(|listener| listener.local_addr()).expect("a port");
+    let listen = free_address(loopback_address);
     let class = |name, semantics| {
         json!({"name": name, "semantics": semantics, "group": "all", "dedupWindow": 5000.0, "worth": 1.0,
                "slo": 1000.0, "deadline": 4000.0, "lateShare": 0.0, "stream": false})
--- a/tests/gateway_process/process.rs
+++ b/tests/gateway_process/process.rs
@@ -3,9 +3,11 @@
 use crate::peers::*;
 use serde_json::json;
 use std::io::Write;
+use std::net::{Ipv4Addr, TcpStream};
 use std::os::fd::OwnedFd;
 use std::os::unix::net::UnixStream;
-use std::process::Stdio;
+use std::process::{Command, Stdio};
+use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread;
 use std::time::Duration;
 use std::time::Instant;
@@ -100,3 +102,24 @@
         assert_eq!(status.code(), Some(1), "{status}");
     }
 }
+
+// A process that starts inherits the open sockets of this one until its exec. If one of them listened at the address of a
+// gateway, clients would be connected to it, and reset, before the gateway listens.
+#[test]
+fn no_connection_is_accepted_at_the_address_of_a_gateway_before_it_listens() {
+    const ADDRESSES: usize = 1000;
+    let done = AtomicBool::new(false);
+    thread::scope(|scope| {
+        for _ in 0..4 {
+            scope.spawn(|| {
+                while !done.load(Ordering::Relaxed) {
+                    let _ = Command::new("true").status();
+                }
+            });
+        }
+        let connect = |_: &usize| TcpStream::connect(free_address(Ipv4Addr::new(127, 254, 0, 1))).is_ok();
+        let accepted = (0..ADDRESSES).filter(connect).count();
+        done.store(true, Ordering::Relaxed);
+        assert_eq!(accepted, 0, "of {ADDRESSES} addresses");
+    });
+}
