--- a/src/bin/brassport/backends.rs
+++ b/src/bin/brassport/backends.rs
@@ -114,7 +114,7 @@
     }
 
     /// Closes the connection that has been idle for the longest time; returns false if none is idle.
-    pub fn shed_idle(&self) -> bool {
+    pub fn close_longest_idle(&self) -> bool {
         let mut by_id = self.by_id.borrow_mut();
         let with_idle = by_id.values_mut().filter(|backend| !backend.idle.is_empty());
         let Some(backend) = with_idle.min_by_key(|backend| backend.idle[0].idle_since) else { return false };
@@ -123,7 +123,7 @@
     }
 
     /// Periodically closes connections that have been idle for too long or that the backend has closed. Never returns.
-    pub async fn sweep(&self) {
+    pub async fn close_stale_connections(&self) {
         loop {
             sleep(SWEEP_PERIOD).await;
             let taken: Vec<(ServerId, SocketAddr, Vec<PooledConnection>)> = self
@@ -233,7 +233,7 @@
         let descriptor = loop {
             match self.descriptors.clone().try_acquire_owned() {
                 Ok(descriptor) => break descriptor,
-                Err(_) if self.shed_idle() => {}
+                Err(_) if self.close_longest_idle() => {}
                 Err(_) => return Err(Outcome::NotSent),
             }
         };
--- a/src/bin/brassport/client_connections.rs
+++ b/src/bin/brassport/client_connections.rs
@@ -1,6 +1,6 @@
 //! The registry of client connections: the stage of each, its time-outs, and which to close when descriptors run out.
 
-use crate::client_stream::Connection;
+use crate::client_stream::ClientSocket;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -200,7 +200,7 @@
     }
     /// Waits until the connection has to close, and returns what it was doing. If part of a request has arrived, read
     /// or not, an unused connection stays open; that is checked with a system call.
-    pub async fn close_requested(&self, connection: &Connection) -> CloseReason {
+    pub async fn close_requested(&self, client_socket: &ClientSocket) -> CloseReason {
         loop {
             self.state.close_requested.notified().await;
             if self.stage() != Stage::Closing {
@@ -212,7 +212,7 @@
                     _ => CloseReason::Answered,
                 };
             }
-            if connection.has_no_input() {
+            if client_socket.has_no_input() {
                 return CloseReason::Unused;
             }
             self.set_stage(Stage::ReceivingRequest);
--- a/src/bin/brassport/client_stream.rs
+++ b/src/bin/brassport/client_stream.rs
@@ -156,17 +156,17 @@
 
 /// The state of one connection, shared by the HTTP server's stream and the handling of its requests.
 #[derive(Debug)]
-pub struct Connection {
+pub struct ClientSocket {
     socket: Socket,
     input: RefCell<Input>,
     /// Whether the last write could not proceed because the client is not reading.
     write_blocked: Cell<bool>,
 }
 
-impl Connection {
+impl ClientSocket {
     /// A connection that was just accepted. If it waited for that, its first bytes may have arrived as early as
     /// `queued_since`.
-    pub fn new(socket: Socket, queued_since: Option<Instant>) -> Rc<Connection> {
+    pub fn new(socket: Socket, queued_since: Option<Instant>) -> Rc<ClientSocket> {
         let input = Input {
             queued_since,
             read_ahead: Vec::new(),
@@ -176,7 +176,7 @@
             ended: false,
             read_waker: None,
         };
-        Rc::new(Connection { socket, input: RefCell::new(input), write_blocked: Cell::new(false) })
+        Rc::new(ClientSocket { socket, input: RefCell::new(input), write_blocked: Cell::new(false) })
     }
 
     /// Records that a request head with a body of `body_length` bytes was read. Returns when the head arrived.
@@ -281,19 +281,19 @@
 
 /// The stream that the HTTP server reads from and writes to. It reports reads to the registry of connections.
 pub struct ClientStream {
-    connection: Rc<Connection>,
+    client_socket: Rc<ClientSocket>,
     tracked: Rc<ClientConnection>,
 }
 
 impl ClientStream {
-    pub fn new(connection: Rc<Connection>, tracked: Rc<ClientConnection>) -> ClientStream {
-        ClientStream { connection, tracked }
+    pub fn new(client_socket: Rc<ClientSocket>, tracked: Rc<ClientConnection>) -> ClientStream {
+        ClientStream { client_socket, tracked }
     }
 
     /// Shuts down the sending side, then discards input until the client closes too, for a bounded time. Closing a
     /// socket with unread input would reset the connection, and the client would lose its response.
     pub async fn linger(self) {
-        let mut socket = self.connection.socket.clone();
+        let mut socket = self.client_socket.socket.clone();
         let drain = async {
             socket.shutdown().await?;
             let mut bytes = vec![0; 16 * 1024];
@@ -312,7 +312,7 @@
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let filled_before = buffer.filled().len();
-        let read = self.connection.poll_input(context, buffer);
+        let read = self.client_socket.poll_input(context, buffer);
         if buffer.filled().len() > filled_before {
             self.tracked.bytes_read();
         }
@@ -322,8 +322,8 @@
 
 impl AsyncWrite for ClientStream {
     fn poll_write(self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
-        let written = Pin::new(&mut self.connection.socket.clone()).poll_write(context, bytes);
-        self.connection.write_blocked.set(written.is_pending());
+        let written = Pin::new(&mut self.client_socket.socket.clone()).poll_write(context, bytes);
+        self.client_socket.write_blocked.set(written.is_pending());
         written
     }
     fn poll_write_vectored(
@@ -331,8 +331,8 @@
         context: &mut Context<'_>,
         bytes: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        let written = Pin::new(&mut self.connection.socket.clone()).poll_write_vectored(context, bytes);
-        self.connection.write_blocked.set(written.is_pending());
+        let written = Pin::new(&mut self.client_socket.socket.clone()).poll_write_vectored(context, bytes);
+        self.client_socket.write_blocked.set(written.is_pending());
         written
     }
     fn is_write_vectored(&self) -> bool {
@@ -342,7 +342,7 @@
         Poll::Ready(Ok(()))
     }
     fn poll_shutdown(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.connection.socket.clone()).poll_shutdown(context)
+        Pin::new(&mut self.client_socket.socket.clone()).poll_shutdown(context)
     }
 }
 
@@ -378,7 +378,7 @@
             .await
             .expect("it connects");
         let (stream, _) = listener.accept().await.expect("it is accepted");
-        let connection = Connection::new(Socket::new(stream), None);
+        let client_socket = ClientSocket::new(Socket::new(stream), None);
         client
             .write_all(b"POST /a HTTP/1.1\r\n\r\nbodyGET /b HTTP/1.1\r\n\r\nGET")
             .await
@@ -386,24 +386,24 @@
         let read = async || {
             let mut bytes = [0; 100];
             let mut buffer = ReadBuf::new(&mut bytes);
-            let poll = std::future::poll_fn(|context| connection.poll_input(context, &mut buffer));
+            let poll = std::future::poll_fn(|context| client_socket.poll_input(context, &mut buffer));
             let in_time = timeout(Duration::from_millis(200), poll).await;
             in_time.is_ok().then(|| buffer.filled().to_vec())
         };
         assert_eq!(read().await.as_deref(), Some(&b"POST /a HTTP/1.1\r\n\r\n"[..]));
         assert_eq!(read().await, None, "the body length is not known yet");
-        connection.begin_request(4);
+        client_socket.begin_request(4);
         assert_eq!(read().await.as_deref(), Some(&b"body"[..]));
         assert_eq!(read().await, None);
-        assert!(connection.has_read_ahead() && !connection.has_left());
-        connection.end_request();
+        assert!(client_socket.has_read_ahead() && !client_socket.has_left());
+        client_socket.end_request();
         assert_eq!(read().await.as_deref(), Some(&b"GET /b HTTP/1.1\r\n\r\n"[..]));
-        connection.begin_request(0);
+        client_socket.begin_request(0);
         drop(client);
-        timeout(Duration::from_secs(5), connection.wait_until_left())
+        timeout(Duration::from_secs(5), client_socket.wait_until_left())
             .await
             .expect("the client's close is detected");
-        connection.end_request();
+        client_socket.end_request();
         assert_eq!(read().await.as_deref(), Some(&b"GET"[..]));
         assert_eq!(read().await.as_deref(), Some(&b""[..]), "end of stream");
     }
@@ -416,8 +416,8 @@
         let address = listener.local_addr().expect("an address");
         let mut client = std::net::TcpStream::connect(address).expect("it connects");
         let (stream, _) = listener.accept().await.expect("it is accepted");
-        let connection = Connection::new(Socket::new(stream), None);
-        let read_by = connection.clone();
+        let client_socket = ClientSocket::new(Socket::new(stream), None);
+        let read_by = client_socket.clone();
         let reading = async move {
             let mut bytes = [0; 100];
             let mut buffer = ReadBuf::new(&mut bytes);
@@ -430,10 +430,10 @@
             tokio::task::yield_now().await;
             // Blocks the runtime's only thread until the request is in the socket.
             std::io::Write::write_all(&mut client, b"GET /a HTTP/1.1\r\n\r\n").expect("it is sent");
-            while connection.socket.has_no_input() {
+            while client_socket.socket.has_no_input() {
                 std::thread::yield_now();
             }
-            assert!(!connection.has_left());
+            assert!(!client_socket.has_left());
             timeout(Duration::from_secs(5), server).await.expect("the server is woken").expect("it ends")
         };
         let read = tokio::task::LocalSet::new().run_until(test).await;
--- a/src/bin/brassport/clients.rs
+++ b/src/bin/brassport/clients.rs
@@ -3,8 +3,8 @@
 use crate::acceptor::{Accepted, Acceptor};
 use crate::backends::{Backends, Message, BODY_LIMIT};
 use crate::client_connections::{ClientConnection, ClientConnections, CloseReason, Stage};
-use crate::client_stream::{ClientStream, Connection};
-use crate::config::Names;
+use crate::client_stream::{ClientSocket, ClientStream};
+use crate::config::NameTables;
 use crate::dispatcher::{Answer, Dispatcher};
 use crate::host_header;
 use crate::log;
@@ -102,7 +102,7 @@
 pub struct ServeContext {
     pub dispatcher: Rc<Dispatcher>,
     pub backends: Rc<Backends>,
-    pub names: Names,
+    pub names: NameTables,
     pub settings: Settings,
     pub phase: watch::Receiver<Phase>,
     /// Bytes that further request bodies may occupy at present, over all connections.
@@ -120,7 +120,7 @@
     // are closed first.
     let free_descriptors = |least: usize| {
         while descriptors.available_permits() + client_connections.closing_count() < least {
-            if !client_connections.shed() && !context.backends.shed_idle() {
+            if !client_connections.shed() && !context.backends.close_longest_idle() {
                 return false;
             }
         }
@@ -202,7 +202,7 @@
     let tracked = Rc::new(tracked);
     let socket = Socket::new(stream);
     let queued_since = queued_since.filter(|_| !socket.has_no_input());
-    let client = Connection::new(socket, queued_since);
+    let client = ClientSocket::new(socket, queued_since);
     let client_stream = ClientStream::new(client.clone(), tracked.clone());
     let service = service_fn(|request: Request<Incoming>| {
         tracked.set_stage(Stage::InRequest);
@@ -271,7 +271,7 @@
 
 /// Keeps a connection open after its last response until the client has received it, unless the descriptor is
 /// needed for others.
-async fn linger(stream: ClientStream, tracked: &ClientConnection, client: &Connection) {
+async fn linger(stream: ClientStream, tracked: &ClientConnection, client: &ClientSocket) {
     tokio::select! {
         () = stream.linger() => {}
         _ = tracked.close_requested(client) => {}
@@ -285,7 +285,7 @@
     mut request: Request<Incoming>,
     receive_deadline: Instant,
     head_arrived: Instant,
-    client: &Rc<Connection>,
+    client: &Rc<ClientSocket>,
 ) -> Result<Response<Full<Bytes>>, Response<Full<Bytes>>> {
     // Request smuggling: hyper removes a Content-Length that comes with a Transfer-Encoding, so that later code
     // cannot detect the conflict. No client needs Transfer-Encoding here, so it is rejected.
--- a/src/bin/brassport/config.rs
+++ b/src/bin/brassport/config.rs
@@ -30,14 +30,14 @@
     pub memory_bytes: usize,
     /// The list of servers as last stored; possibly stale.
     pub cached_list: List,
-    pub names: Names,
+    pub names: NameTables,
     pub settings: Settings,
     pub connect_timeout: Duration,
     pub idle_timeout: Duration,
 }
 
 /// The names used in requests and lists, in the order of their indices in [`Settings`].
-pub struct Names {
+pub struct NameTables {
     pub classes: Vec<String>,
     pub plans: Vec<String>,
     pub zones: Vec<String>,
@@ -262,7 +262,7 @@
         if !error.is_transient() || Instant::now() >= until {
             return Err(error);
         }
-        pauses.report("reading the configuration", &error);
+        pauses.log_first_failure("reading the configuration", &error);
         sleep(pauses.next()).await;
     }
 }
@@ -287,7 +287,7 @@
     let seed = u64::from_str_radix(&file.seed, 16)
         .map_err(|_| format!("seed: '{}' is not a hexadecimal number of up to 64 bits", file.seed))?;
     let settings = file.settings;
-    let names = Names {
+    let names = NameTables {
         classes: settings.classes.iter().map(|class| class.name.clone()).collect(),
         plans: settings.plans.iter().map(|plan| plan.name.clone()).collect(),
         zones: settings.areas,
--- a/src/bin/brassport/dispatcher.rs
+++ b/src/bin/brassport/dispatcher.rs
@@ -2,7 +2,7 @@
 //! and carries out its actions in order. It makes no decisions itself.
 
 use crate::backends::{AttemptResult, Backends, Message};
-use crate::client_stream::Connection;
+use crate::client_stream::ClientSocket;
 use crate::clock::Clock;
 use crate::counter::{Counter, CounterEvent};
 use crate::discovery::{List, State, Target};
@@ -46,7 +46,7 @@
     /// The `x-request-id` that the client sent.
     client_request_id: String,
     /// The connection on which it arrived.
-    client: Rc<Connection>,
+    client: Rc<ClientSocket>,
     message: Rc<Message>,
     /// When the client gives up.
     deadline: Instant,
@@ -132,7 +132,7 @@
         client_request_id: String,
         message: Message,
         deadline: Instant,
-        client: Rc<Connection>,
+        client: Rc<ClientSocket>,
     ) -> Option<PendingAnswer> {
         let (answer, receiver) = oneshot::channel();
         let mut inner = self.inner.borrow_mut();
@@ -166,7 +166,7 @@
 
     /// Logs the guard's counts as the last line of the process. Requests without an answer whose clients still
     /// wait are counted as a violation.
-    pub fn report(&self) {
+    pub fn log_summary(&self) {
         let client_waits = |pending: &&PendingRequest| pending.answer.is_some() && !pending.client.has_left();
         let unanswered = self.inner.borrow().requests.values().filter(client_waits).count();
         if unanswered > 0 {
@@ -190,7 +190,7 @@
     }
 
     /// Applies the server list, or changes to it, to the connection pool and passes it to the decision module.
-    pub fn servers(self: &Rc<Self>, kind: ListKind, list: List) {
+    pub fn update_servers(self: &Rc<Self>, kind: ListKind, list: List) {
         self.detect_clock_step();
         let mut entries = Vec::with_capacity(list.targets.len());
         let mut gone = HashSet::new();
@@ -272,7 +272,7 @@
     }
 
     /// Passes an event of the counter client to the decision module.
-    pub fn counter_reported(self: &Rc<Self>, event: CounterEvent) {
+    pub fn on_counter_event(self: &Rc<Self>, event: CounterEvent) {
         self.handle(match event {
             CounterEvent::CallEnded { key, result } => Event::CounterAnswer { key, result },
             CounterEvent::Replaced => Event::CounterReplaced,
@@ -280,7 +280,7 @@
     }
 
     /// Passes each timer to the decision module when it is due. Never returns.
-    pub async fn keep_time(self: Rc<Self>) {
+    pub async fn run_timers(self: Rc<Self>) {
         loop {
             let next = self.inner.borrow().timers.peek().map(|Reverse((at, _))| *at);
             match next {
--- a/src/bin/brassport/main.rs
+++ b/src/bin/brassport/main.rs
@@ -87,7 +87,7 @@
         }
         tokio::runtime::Builder::new_current_thread().enable_all().build().map(Some)
     };
-    let runtime = retry::blocking(START_TIMEOUT, "starting the runtime", build)
+    let runtime = retry::retry_blocking(START_TIMEOUT, "starting the runtime", build)
         .map_err(|error| format!("cannot start: {error}"))?;
     let Some(runtime) = runtime else { return Ok(()) };
     let result = LocalSet::new().block_on(&runtime, start(signals));
@@ -124,7 +124,7 @@
     let mut first_update = Some(first_update);
     while let Some(update) = updates.recv().await {
         if let Update::List(kind, list) = update {
-            dispatcher.servers(kind, list);
+            dispatcher.update_servers(kind, list);
         }
         if let Some(first_update) = first_update.take() {
             let _ = first_update.send(());
@@ -144,15 +144,15 @@
     let dispatcher = Dispatcher::new(settings, config.seed, zones, backends.clone(), counter)
         .map_err(|error| error.to_string())?;
     let (counter_address, current_address) = watch::channel(config.counter);
-    let reported = dispatcher.clone();
-    spawn_local(counter_client.run(current_address, move |report| reported.counter_reported(report)));
-    dispatcher.servers(ListKind::Cached, config.cached_list);
-    spawn_local(dispatcher.clone().keep_time());
+    let event_handler = dispatcher.clone();
+    spawn_local(counter_client.run(current_address, move |event| event_handler.on_counter_event(event)));
+    dispatcher.update_servers(ListKind::Cached, config.cached_list);
+    spawn_local(dispatcher.clone().run_timers());
     let Subscription { source, updates } = discovery;
     let (first_update_sender, first_update) = oneshot::channel();
     spawn_local(forward_updates(updates, dispatcher.clone(), first_update_sender));
-    let sweeper = backends.clone();
-    spawn_local(async move { sweeper.sweep().await });
+    let idle_backends = backends.clone();
+    spawn_local(async move { idle_backends.close_stale_connections().await });
 
     let (phase, current_phase) = watch::channel(Phase::Serving);
     let context = Rc::new(ServeContext {
@@ -186,6 +186,6 @@
         dispatcher.fail_all();
         let _ = timeout(FINAL_ANSWERS_TIME, &mut serving).await;
     }
-    dispatcher.report();
+    dispatcher.log_summary();
     Ok(())
 }
--- a/src/bin/brassport/retry.rs
+++ b/src/bin/brassport/retry.rs
@@ -57,7 +57,7 @@
     }
 
     /// Logs the first failure of `operation`, as the retries may take a while. To be called before [`Backoff::next`].
-    pub fn report(&self, operation: &str, error: &dyn Display) {
+    pub fn log_first_failure(&self, operation: &str, error: &dyn Display) {
         if self.next == INITIAL_BACKOFF {
             log::line(format!("{operation} failed, retrying: {error}"));
         }
@@ -87,7 +87,7 @@
         if !is_transient(&error) || Instant::now() >= self.deadline {
             return Err(error);
         }
-        self.backoff.report(self.operation, &error);
+        self.backoff.log_first_failure(self.operation, &error);
         Ok(self.backoff.next())
     }
 }
@@ -112,7 +112,7 @@
 }
 
 /// Like [`retry_until`], but blocks the thread: for use before the runtime is started.
-pub fn blocking<T>(
+pub fn retry_blocking<T>(
     timeout: Duration,
     operation: &str,
     mut call: impl FnMut() -> io::Result<T>,
