--- a/tests/gateway_process/backends.rs
+++ b/tests/gateway_process/backends.rs
@@ -11,11 +11,11 @@
 #[test]
 fn forwards_a_request_and_serves_the_backends_response_unchanged() {
     let backend = Peer::start();
-    let gateway = GatewayProcess::before(&[backend.address]);
+    let gateway = GatewayProcess::with_backends(&[backend.address]);
     let mut client = gateway.client();
     let job = post("a job").replace("/job-submit", "/job-submit/7?a=b%20c");
     client.send(&job.replace("Plan:", "Connection: X-Hop\r\nX-Hop: 1\r\nPlan:"));
-    let exchange = backend.next();
+    let exchange = backend.next_request();
     assert_eq!(exchange.request.line, "POST /job-submit/7?a=b%20c HTTP/1.1");
     assert_eq!(exchange.request.header("x-request-id"), id_of(&job));
     assert_eq!(exchange.request.header("x-hop"), "", "a header of the client's connection is not forwarded");
@@ -32,7 +32,7 @@
     thread::sleep(Duration::from_millis(100));
 
     client.send(&get("/x"));
-    let exchange = backend.next();
+    let exchange = backend.next_request();
     assert_eq!(exchange.stream.peer_addr().expect("a peer").port(), port, "the connection is reused");
     exchange.ok("again");
     assert_eq!(client.read().body, b"again");
@@ -46,15 +46,15 @@
         "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
     ] {
         let backends = [Peer::start(), Peer::start()];
-        let gateway = GatewayProcess::before(&[backends[0].address, backends[1].address]);
+        let gateway = GatewayProcess::with_backends(&[backends[0].address, backends[1].address]);
         let mut client = gateway.client();
         client.send(&post("once"));
-        let first = next_of(&backends).0;
+        let first = next_request_of(&backends).0;
         first.send_and_close(response);
         assert_eq!(client.read().status(), 504, "after {response:?}");
         // If the first request were sent again, it would reach a backend before this one.
         client.send(&post("marker"));
-        let (exchange, _) = next_of(&backends);
+        let (exchange, _) = next_request_of(&backends);
         assert_eq!(exchange.request.body, b"marker");
         exchange.ok("");
         assert_eq!(client.read().status(), 200);
@@ -64,12 +64,12 @@
 #[test]
 fn a_request_that_a_backend_did_not_run_is_sent_to_another() {
     let backends = [Peer::start(), Peer::start()];
-    let gateway = GatewayProcess::before(&[backends[0].address, backends[1].address]);
+    let gateway = GatewayProcess::with_backends(&[backends[0].address, backends[1].address]);
     let mut client = gateway.client();
     client.send(&post("a job"));
-    let (exchange, first) = next_of(&backends);
+    let (exchange, first) = next_request_of(&backends);
     exchange.answer("503 Full", "X-Not-Run: 1\r\n", "");
-    let (exchange, second) = next_of(&backends);
+    let (exchange, second) = next_request_of(&backends);
     assert_ne!(first, second);
     assert_eq!(exchange.request.body, b"a job");
     exchange.ok("done");
@@ -78,7 +78,7 @@
 
 #[test]
 fn a_request_whose_backend_cannot_be_connected_to_is_refused_and_not_failed() {
-    let gateway = GatewayProcess::before(&[closed_port()]);
+    let gateway = GatewayProcess::with_backends(&[closed_port()]);
     // Only a refusal (429) states that nothing ran; a failure (504) does not.
     assert_eq!(gateway.client().send(&post("a job")).read().status(), 429);
 }
@@ -86,11 +86,11 @@
 #[test]
 fn an_idle_connection_that_the_backend_closed_loses_no_request() {
     let backend = Peer::start();
-    let gateway = GatewayProcess::before(&[backend.address]);
+    let gateway = GatewayProcess::with_backends(&[backend.address]);
     let mut client = gateway.client();
     for _ in 0..3 {
         client.send(&post("a job"));
-        backend.next().send_and_close("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
+        backend.next_request().send_and_close("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
         assert_eq!(client.read().status(), 200);
     }
 }
@@ -98,7 +98,7 @@
 #[test]
 fn a_request_with_an_invalid_response_may_have_run_and_its_connection_is_closed() {
     let backend = Peer::start();
-    let gateway = GatewayProcess::before(&[backend.address]);
+    let gateway = GatewayProcess::with_backends(&[backend.address]);
     let endless_header = format!("HTTP/1.1 200 OK\r\nX-Long: {}", "x".repeat(64 * 1024));
     let mut last_port = 0;
     for response in [
@@ -112,7 +112,7 @@
     ] {
         let mut client = gateway.client();
         client.send(&post("a job"));
-        let mut exchange = backend.next();
+        let mut exchange = backend.next_request();
         let port = exchange.stream.peer_addr().expect("a peer").port();
         assert_ne!(last_port, port, "the connection of the response before {response:.40?} is reused");
         last_port = port;
@@ -125,12 +125,12 @@
 #[test]
 fn bytes_after_a_response_are_not_read_as_the_next_response() {
     let backend = Peer::start();
-    let gateway = GatewayProcess::before(&[backend.address]);
+    let gateway = GatewayProcess::with_backends(&[backend.address]);
     let response = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
     let mut client = gateway.client();
     for surplus in ["", response, "noise"] {
         client.send(&post("a job"));
-        let mut exchange = backend.next();
+        let mut exchange = backend.next_request();
         let interim = "HTTP/1.1 102 Processing\r\n\r\n".repeat(3);
         exchange
             .stream
@@ -145,18 +145,18 @@
         exchange.wait_for_close();
     }
     client.send(&post("a job"));
-    backend.next().ok("its own");
+    backend.next_request().ok("its own");
     assert_eq!(client.read().body, b"its own");
 }
 
 #[test]
 fn at_the_deadline_the_client_is_answered_and_the_attempts_socket_is_closed() {
     let backend = Peer::start();
-    let gateway = GatewayProcess::before(&[backend.address]);
+    let gateway = GatewayProcess::with_backends(&[backend.address]);
     let mut client = gateway.client();
     let sent = Instant::now();
     client.send(&post("a job").replace("4000m", "300000u"));
-    let mut exchange = backend.next();
+    let mut exchange = backend.next_request();
     assert_eq!(client.read().status(), 504);
     assert!(sent.elapsed() >= Duration::from_millis(250), "answered early, after {:?}", sent.elapsed());
     exchange.wait_for_close();
@@ -165,12 +165,12 @@
 #[test]
 fn an_attempts_socket_is_closed_before_the_next_attempt_is_sent() {
     let backends = [Peer::start(), Peer::start()];
-    let gateway = GatewayProcess::before(&[backends[0].address, backends[1].address]);
+    let gateway = GatewayProcess::with_backends(&[backends[0].address, backends[1].address]);
     let mut client = gateway.client();
     client.send(&get(""));
-    let (mut silent, first) = next_of(&backends);
+    let (mut silent, first) = next_request_of(&backends);
     // The gateway gives up on the silent backend long before the client's deadline.
-    let (exchange, second) = next_of(&backends);
+    let (exchange, second) = next_request_of(&backends);
     assert_ne!(first, second);
     silent.stream.set_nonblocking(true).expect("the mode is set");
     silent.wait_for_close();
@@ -193,7 +193,7 @@
     let gateway = GatewayProcess::start(&config);
     let mut client = gateway.client();
     client.send(&post("a job").replace("4000m", "12000m").replace("Host:", "Idempotency-Key: 7\r\nHost:"));
-    backend.next().send_and_close("");
+    backend.next_request().send_and_close("");
     unconnectable.wait_for_connect();
     thread::sleep(Duration::from_millis(1600));
     // The deduplication window of 1.5 s is over, so backends would no longer drop a duplicate.
@@ -204,11 +204,11 @@
 #[test]
 fn a_request_that_a_backend_rejects_as_invalid_is_sent_to_no_other() {
     let backends = [Peer::start(), Peer::start()];
-    let gateway = GatewayProcess::before(&[backends[0].address, backends[1].address]);
+    let gateway = GatewayProcess::with_backends(&[backends[0].address, backends[1].address]);
     for status in ["400 Bad Request", "404 Not Found", "413 Payload Too Large"] {
         let mut client = gateway.client();
         client.send(&get("/odd"));
-        let (exchange, _) = next_of(&backends);
+        let (exchange, _) = next_request_of(&backends);
         exchange.answer(status, "", "");
         assert_eq!(client.read().status(), 504);
         let sent_again = backends.iter().any(|backend| backend.exchanges.try_recv().is_ok());
--- a/tests/gateway_process/clients.rs
+++ b/tests/gateway_process/clients.rs
@@ -76,7 +76,7 @@
     let gateway = GatewayProcess::start(&config);
     let mut first = gateway.client();
     first.send(&post("first"));
-    let first_exchange = backend.next();
+    let first_exchange = backend.next_request();
     let (mut gone, mut last) = (gateway.client(), gateway.client());
     let held = post("held");
     gone.send(&held);
@@ -92,7 +92,7 @@
     assert_eq!(gateway.client().send(health_check).read().status(), 200);
     first_exchange.ok("");
     assert_eq!(first.read().status(), 200);
-    let next = backend.next();
+    let next = backend.next_request();
     assert_eq!(next.request.body, b"last", "the request of the client that left is not sent");
     next.ok("");
     assert_eq!(last.read().status(), 200);
@@ -113,7 +113,7 @@
     assert!(calls.next().expect("a call").expect("a line").ends_with(" -1 8000"));
     let mut client = gateway.client();
     client.send(&post("marker"));
-    let next = backend.next();
+    let next = backend.next_request();
     assert_eq!(next.request.body, b"marker");
     next.ok("");
     assert_eq!(client.read().status(), 200);
@@ -122,14 +122,14 @@
 #[test]
 fn client_that_disconnects_during_its_request_does_not_affect_others() {
     let backend = Peer::start();
-    let gateway = GatewayProcess::before(&[backend.address]);
+    let gateway = GatewayProcess::with_backends(&[backend.address]);
     let mut gone = gateway.client();
     gone.send(&post("gone"));
-    let exchange = backend.next();
+    let exchange = backend.next_request();
     drop(gone);
     let mut client = gateway.client();
     client.send(&post("here"));
-    let here = backend.next();
+    let here = backend.next_request();
     exchange.ok("for the client that left");
     here.ok("for the client that stayed");
     assert_eq!(client.read().body, b"for the client that stayed");
@@ -144,7 +144,7 @@
 #[test]
 fn clients_that_connect_while_the_gateway_is_stopped_are_answered_in_time() {
     let backend = Peer::start();
-    let gateway = GatewayProcess::before(&[backend.address]);
+    let gateway = GatewayProcess::with_backends(&[backend.address]);
     answer_all(backend);
     gateway.signal("-STOP");
     let began = Instant::now();
@@ -170,7 +170,7 @@
 #[test]
 fn malformed_input_gets_400_and_reaches_no_backend() {
     let backend = Peer::start();
-    let gateway = GatewayProcess::before(&[backend.address]);
+    let gateway = GatewayProcess::with_backends(&[backend.address]);
     let valid = get("");
     let malformed = [
         ("X-Class: preview-fetch", "X-Class: nothing"),
@@ -219,7 +219,7 @@
 
     let mut client = gateway.client();
     client.send(&post(&long));
-    let exchange = backend.next();
+    let exchange = backend.next_request();
     assert_eq!(
         exchange.request.body.len(),
         long.len(),
@@ -232,10 +232,10 @@
 #[test]
 fn the_host_of_a_request_line_in_absolute_form_replaces_the_header() {
     let backend = Peer::start();
-    let gateway = GatewayProcess::before(&[backend.address]);
+    let gateway = GatewayProcess::with_backends(&[backend.address]);
     let mut client = gateway.client();
     client.send(&get("/1?a=b").replace("GET /", "GET http://other.local/"));
-    let exchange = backend.next();
+    let exchange = backend.next_request();
     assert_eq!(exchange.request.line, "GET /preview-fetch/1?a=b HTTP/1.1");
     assert_eq!(exchange.request.header("host"), "other.local");
     exchange.ok("served");
@@ -250,7 +250,7 @@
     let gateway = GatewayProcess::start(&config);
     let serve = |client: &mut Client| {
         client.send(&get(""));
-        backend.next().ok("served");
+        backend.next_request().ok("served");
         assert_eq!(client.read().status(), 200);
     };
     let mut regular = gateway.client();
@@ -306,7 +306,7 @@
         .iter_mut()
         .map(|client| {
             client.send(&get(""));
-            backend.next()
+            backend.next_request()
         })
         .collect();
     // All are answered at the same time: once the first are closed, the rest no longer count as many.
@@ -325,7 +325,7 @@
 #[test]
 fn request_smuggled_in_a_body_is_not_forwarded() {
     let backend = Peer::start();
-    let gateway = GatewayProcess::before(&[backend.address]);
+    let gateway = GatewayProcess::with_backends(&[backend.address]);
     let smuggled = get("/hidden");
     let chunked = format!("0\r\n\r\n{smuggled}");
     let length = chunked.len();
@@ -342,7 +342,7 @@
     }
     let mut client = gateway.client();
     client.send(&get("/seen"));
-    let exchange = backend.next();
+    let exchange = backend.next_request();
     assert!(exchange.request.line.starts_with("GET /preview-fetch/seen "), "{}", exchange.request.line);
     exchange.ok("served");
     assert_eq!(client.read().status(), 200);
@@ -351,11 +351,11 @@
 #[test]
 fn duplicate_request_id_gets_409_until_the_last_attempt_has_ended() {
     let backend = Peer::start();
-    let gateway = GatewayProcess::before(&[backend.address]);
+    let gateway = GatewayProcess::with_backends(&[backend.address]);
     let mut first = gateway.client();
     let job = post("a job");
     first.send(&job);
-    let exchange = backend.next();
+    let exchange = backend.next_request();
     assert_eq!(gateway.client().send(&job).read().status(), 409);
     // The client has left, but the attempt may still take effect.
     drop(first);
@@ -387,7 +387,7 @@
     let request = request.replace("Plan: starter", "Plan: diák bérlet");
     for path in ["/men%C3%BC-olvas%c3%a1s/7", "/menü-olvasás/7"] {
         client.send(&request.replace("/preview-fetch/7", path));
-        let exchange = backend.next();
+        let exchange = backend.next_request();
         assert_eq!(exchange.request.line, format!("GET {path} HTTP/1.1"), "unchanged");
         exchange.ok("served");
         assert_eq!(client.read().status(), 200);
@@ -411,7 +411,7 @@
     assert_eq!(gateway.client().send(&twice).read().status(), 400);
     let mut client = gateway.client();
     client.send(&keyed);
-    let exchange = backend.next();
+    let exchange = backend.next_request();
     assert_eq!(exchange.request.header("idempotency-key"), "7");
     exchange.send_and_close("");
     assert_eq!(client.read().status(), 504);
@@ -421,10 +421,10 @@
 #[test]
 fn clients_that_do_not_finish_a_request_are_closed_in_time() {
     let backend = Peer::start();
-    let gateway = GatewayProcess::before(&[backend.address]);
+    let gateway = GatewayProcess::with_backends(&[backend.address]);
     let mut idle = gateway.client();
     idle.send(&get(""));
-    backend.next().ok("served");
+    backend.next_request().ok("served");
     assert_eq!(idle.read().status(), 200);
     let connected_at = Instant::now();
     let mut silent = gateway.client();
@@ -434,7 +434,7 @@
     half_body.send(&post("a job").replace("Content-Length: 5", "Content-Length: 6"));
     let mut second = gateway.client();
     second.send(&get(""));
-    backend.next().ok("served");
+    backend.next_request().ok("served");
     assert_eq!(second.read().status(), 200);
     second.send("GET ");
     silent.expect_close();
@@ -447,13 +447,13 @@
     assert!(connected_at.elapsed() < Duration::from_millis(6000), "it took {:?}", connected_at.elapsed());
     // A connection that is idle after a response stays open.
     idle.send(&get(""));
-    backend.next().ok("served");
+    backend.next_request().ok("served");
     assert_eq!(idle.read().status(), 200);
 }
 
 #[test]
 fn oversized_requests_are_refused_before_they_arrive_and_the_response_is_not_lost() {
-    let gateway = GatewayProcess::before(&[closed_port()]);
+    let gateway = GatewayProcess::with_backends(&[closed_port()]);
     let long = 60 << 20;
     let mut client = gateway.client();
     client.send(&post("").replace("Content-Length: 0", &format!("Content-Length: {long}")));
@@ -478,7 +478,7 @@
 #[test]
 fn connection_header_that_names_a_request_header_gets_400() {
     let backend = Peer::start();
-    let gateway = GatewayProcess::before(&[backend.address]);
+    let gateway = GatewayProcess::with_backends(&[backend.address]);
     for name in ["X-Request-Id", "idempotency-key", "X-Deadline"] {
         let mut client = gateway.client();
         let request = get("").replace("\r\n\r\n", &format!("\r\nConnection: keep-alive, {name}\r\n\r\n"));
@@ -490,14 +490,14 @@
 #[test]
 fn deadline_of_a_pipelined_request_counts_from_its_arrival() {
     let backend = Peer::start();
-    let gateway = GatewayProcess::before(&[backend.address]);
+    let gateway = GatewayProcess::with_backends(&[backend.address]);
     let mut client = gateway.client();
     let short_deadline = get("/second").replace("4000m", "900m");
     client.send(&format!("{}{}{short_deadline}", get("/first"), get("/second")));
-    let first = backend.next();
+    let first = backend.next_request();
     thread::sleep(Duration::from_millis(500));
     first.ok("first");
-    let second = backend.next();
+    let second = backend.next_request();
     let time_left_us =
         second.request.header("x-deadline").trim_end_matches('u').parse::<f64>().expect("a number");
     assert!(time_left_us <= 3_550_000.0, "x-deadline of {time_left_us} us though 0.5 s of 4 s are over");
--- a/tests/gateway_process/counter.rs
+++ b/tests/gateway_process/counter.rs
@@ -46,7 +46,7 @@
     client.send(&request);
     let increment = next_call();
     let key = increment.strip_prefix("add ").and_then(|rest| rest.strip_suffix(" 1 8000")).expect(&increment);
-    backend.next().ok("served");
+    backend.next_request().ok("served");
     assert_eq!((client.read().status(), next_call()), (200, format!("add {key} -1 8000")));
     // The counter now returns 3, which exceeds the limit of 2: the slot is released and the request refused.
     client.send(&get("").replace("spread=1", "spread=2"));
@@ -67,7 +67,7 @@
     let request = || get("").replace("spread=1", "spread=2");
     client.send(&request());
     next_call();
-    backend.next().ok("served");
+    backend.next_request().ok("served");
     assert_eq!(client.read().status(), 200);
     next_call();
     // Time for the gateway to notice that the counter has closed the connection.
@@ -89,7 +89,7 @@
         let gateway = GatewayProcess::start(&config);
         let mut client = gateway.client();
         client.send(&get("").replace("spread=1", "spread=2"));
-        backend.next().ok("served");
+        backend.next_request().ok("served");
         assert_eq!(client.read().status(), 200);
     }
 }
@@ -108,7 +108,7 @@
     let mut client = gateway.client();
     client.send(&get("").replace("spread=1", "spread=2"));
     let increment = old_calls.recv_timeout(TEST_TIMEOUT).expect("a call");
-    let exchange = backend.next();
+    let exchange = backend.next_request();
     config["counter"] = json!(new_address.to_string());
     std::fs::write(&gateway.file, config.to_string()).expect("the file is replaced");
     gateway.signal("-HUP");
--- a/tests/gateway_process/discovery.rs
+++ b/tests/gateway_process/discovery.rs
@@ -33,7 +33,7 @@
     let mut client = gateway.client();
     for _ in 0..6 {
         client.send(&get(""));
-        let (exchange, n) = next_of(&backends);
+        let (exchange, n) = next_request_of(&backends);
         assert_eq!(n, 1, "the draining backend got a request");
         exchange.ok("");
         assert_eq!(client.read().status(), 200);
@@ -65,22 +65,22 @@
         discovery.address,
         list(&[target("s-00000001", backend.address, "ready")]),
     ));
-    let mut call = discovery.next();
+    let mut call = discovery.next_request();
     assert_eq!(call.request.line, "GET /v1/servers HTTP/1.1");
     let mut client = gateway.client();
     client.send(&get(""));
-    backend.next().ok("served");
+    backend.next_request().ok("served");
     assert_eq!(client.read().status(), 200);
     call.wait_for_close();
     // An answer that is not a valid list is ignored; the list held stays valid.
-    discovery.next().ok("{\"rev\":");
-    let call = discovery.next();
+    discovery.next_request().ok("{\"rev\":");
+    let call = discovery.next_request();
     assert_eq!(call.request.line, "GET /v1/servers HTTP/1.1");
     client.send(&get(""));
-    backend.next().ok("served");
+    backend.next_request().ok("served");
     assert_eq!(client.read().status(), 200);
     call.ok(&list(&[]).to_string());
-    assert_eq!(discovery.next().request.line, "GET /v1/servers?after=1&wait_ms=1000 HTTP/1.1");
+    assert_eq!(discovery.next_request().request.line, "GET /v1/servers?after=1&wait_ms=1000 HTTP/1.1");
     assert_eq!(client.send(&get("")).read().status(), 429, "no backend is left");
 }
 
@@ -91,10 +91,10 @@
     let gateway = GatewayProcess::start(&config(agent.address, held.clone()));
     let mut full = held;
     full["rev"] = json!(41);
-    let call = agent.next();
+    let call = agent.next_request();
     assert_eq!(call.request.line, "GET /v1/servers HTTP/1.1");
     call.ok(&full.to_string());
-    let call = agent.next();
+    let call = agent.next_request();
     assert_eq!(call.request.line, "GET /v1/servers?after=41&wait_ms=1000 HTTP/1.1");
     // The agent has restarted and counts revisions from 1 again.
     let gone = [target("s-00000001", backend.address, "gone")];
@@ -103,10 +103,10 @@
     assert_eq!(call.request.line, "GET /v1/servers HTTP/1.1", "the full list is asked for");
     let mut client = gateway.client();
     client.send(&get(""));
-    backend.next().ok("served");
+    backend.next_request().ok("served");
     assert_eq!(client.read().status(), 200);
     call.ok(&list(&[]).to_string());
-    assert_eq!(agent.next().request.line, "GET /v1/servers?after=1&wait_ms=1000 HTTP/1.1");
+    assert_eq!(agent.next_request().request.line, "GET /v1/servers?after=1&wait_ms=1000 HTTP/1.1");
     assert_eq!(client.send(&get("")).read().status(), 429, "no backend is left");
 }
 
@@ -118,16 +118,16 @@
     let gateway = GatewayProcess::start(&config);
     // After a 503 it asks again for the same changes, not for the full list.
     for _ in 0..3 {
-        let call = busy.next();
+        let call = busy.next_request();
         assert_eq!(call.request.line, "GET /v1/servers?after=1&wait_ms=1000 HTTP/1.1");
         call.answer("503 Service Unavailable", "", "");
     }
     let targets = [target("s-00000001", backend.address, "gone"), target("s-00000002", new.address, "ready")];
-    busy.next().ok(&json!({"rev": 5, "all": false, "targets": targets}).to_string());
-    assert_eq!(busy.next().request.line, "GET /v1/servers?after=5&wait_ms=1000 HTTP/1.1");
+    busy.next_request().ok(&json!({"rev": 5, "all": false, "targets": targets}).to_string());
+    assert_eq!(busy.next_request().request.line, "GET /v1/servers?after=5&wait_ms=1000 HTTP/1.1");
     let mut client = gateway.client();
     client.send(&get(""));
-    new.next().ok("served");
+    new.next_request().ok("served");
     assert_eq!(client.read().status(), 200);
 }
 
@@ -137,8 +137,8 @@
     let mut config = config(first.address, list(&[target("s-00000001", backend.address, "ready")]));
     let mut gateway = GatewayProcess::start_with(&config, Stdio::piped());
     let mut log = BufReader::new(gateway.child.stderr.take().expect("a pipe"));
-    first.next().ok(&list(&[target("s-00000001", backend.address, "ready")]).to_string());
-    let mut old = first.next();
+    first.next_request().ok(&list(&[target("s-00000001", backend.address, "ready")]).to_string());
+    let mut old = first.next_request();
 
     // A truncated file changes nothing and is logged once. It is applied once it is complete, without another signal.
     std::fs::write(&gateway.file, &config.to_string()[..99]).expect("the file is replaced");
@@ -148,25 +148,25 @@
     assert!(line.starts_with("brassport: not reloaded: configuration: "), "{line:?}");
     let mut client = gateway.client();
     client.send(&get(""));
-    backend.next().ok("served");
+    backend.next_request().ok("served");
     assert_eq!(client.read().status(), 200);
 
     // The file now takes precedence over BALANCER_DISCOVERY, and each signal starts the watch anew.
     config["discovery"] = json!(second.address.to_string());
     std::fs::write(&gateway.file, config.to_string()).expect("the file is replaced");
     old.wait_for_close();
-    old = second.next();
+    old = second.next_request();
     for _ in 0..2 {
         gateway.signal("-HUP");
         old.wait_for_close();
-        old = second.next();
+        old = second.next_request();
         assert_eq!(old.request.line, "GET /v1/servers HTTP/1.1");
     }
     let moved = Peer::start();
     old.ok(&list(&[target("s-00000002", moved.address, "ready")]).to_string());
-    second.next();
+    second.next_request();
     client.send(&get(""));
-    moved.next().ok("served");
+    moved.next_request().ok("served");
     assert_eq!(client.read().status(), 200);
 
     gateway.signal("-HUP");
@@ -182,21 +182,21 @@
         let mut config = config(agent.address, list(&[target("s-00000001", backend.address, "ready")]));
         config["settings"]["registryMode"] = json!(mode);
         let gateway = GatewayProcess::start(&config);
-        agent.next().send_and_close("");
-        agent.next().answer("500 Internal Server Error", "", "{}");
-        agent.next().answer("200 OK", "", "no list");
-        agent.next().send_and_close("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{\"rev\":9,");
-        agent.next().send_and_close("\u{1}\u{2}noise\r\n\r\n");
+        agent.next_request().send_and_close("");
+        agent.next_request().answer("500 Internal Server Error", "", "{}");
+        agent.next_request().answer("200 OK", "", "no list");
+        agent.next_request().send_and_close("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{\"rev\":9,");
+        agent.next_request().send_and_close("\u{1}\u{2}noise\r\n\r\n");
         // A call whose answer never ends is given up after its time-out.
-        let mut slow = agent.next();
+        let mut slow = agent.next_request();
         slow.stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{").expect("a part goes out");
         slow.wait_for_close();
         let targets = [target("s-00000002", new.address, "ready")];
-        agent.next().ok(&list(&targets).to_string());
-        agent.next();
+        agent.next_request().ok(&list(&targets).to_string());
+        agent.next_request();
         let mut client = gateway.client();
         client.send(&get(""));
-        new.next().ok("served");
+        new.next_request().ok("served");
         assert_eq!(client.read().status(), 200);
     }
 }
@@ -209,8 +209,8 @@
     let targets: Vec<_> =
         (0..3200).map(|n| target(&format!("s-{n:08x}"), backend.address, state(n))).collect();
     let text = serde_json::to_string_pretty(&list(&targets)).expect("it is JSON");
-    agent.next().ok(&text.replace("  ", "        "));
-    agent.next();
+    agent.next_request().ok(&text.replace("  ", "        "));
+    agent.next_request();
     gateway.serves_from(&backend);
 }
 
@@ -222,7 +222,7 @@
     let mut gateway = GatewayProcess::start_with(&config(agent.address, known.clone()), Stdio::piped());
     let log = BufReader::new(gateway.child.stderr.take().expect("a pipe"));
     let mut lines = log.lines().map(|line| line.expect("a line"));
-    agent.next().ok(&known.to_string());
+    agent.next_request().ok(&known.to_string());
     next_list_call(&agent).send_and_close("");
     assert!(lines
         .next()
@@ -243,8 +243,8 @@
     let mut config = config(agent.address, known.clone());
     config["settings"]["rules"]["stopSendingWithin"] = json!(1000.0);
     let gateway = GatewayProcess::start(&config);
-    agent.next().ok(&known.to_string());
-    let watch = agent.next();
+    agent.next_request().ok(&known.to_string());
+    let watch = agent.next_request();
     assert_eq!(watch.request.line, "GET /v1/servers?after=1&wait_ms=400 HTTP/1.1");
     (gateway, watch)
 }
@@ -254,7 +254,7 @@
 fn the_list_stays_valid_if_the_agent_becomes_unresponsive_after_the_watch_was_confirmed() {
     let (backend, agent) = (Peer::start(), Peer::start());
     let (gateway, _watch) = gateway_with_open_watch(&backend, &agent);
-    let confirmation = agent.next();
+    let confirmation = agent.next_request();
     assert_eq!(confirmation.request.line, "GET /v1/servers?after=1&wait_ms=0 HTTP/1.1");
     confirmation.ok(&json!({"rev": 1, "all": false, "targets": []}).to_string());
     thread::sleep(Duration::from_millis(1500));
@@ -300,7 +300,7 @@
     let file = write_config(&config);
     std::fs::write(&file, &config.to_string()[..99]).expect("the file is truncated");
     let starting = StartingGateway::spawn(&file, &config);
-    agent.next().ok(&known.to_string());
+    agent.next_request().ok(&known.to_string());
     let drains = [target("s-00000001", backend.address, "draining")];
     next_list_call(&agent).ok(&json!({"rev": 2, "all": false, "targets": drains}).to_string());
     // The next watch is open, and the agent does not answer it.
@@ -325,8 +325,8 @@
     let file = write_config(&config);
     std::fs::write(&file, &config.to_string()[..99]).expect("the file is truncated");
     let starting = StartingGateway::spawn(&file, &config);
-    agent.next().ok(&list(&[target("s-00000001", backend.address, "ready")]).to_string());
-    let _watch = agent.next();
+    agent.next_request().ok(&list(&[target("s-00000001", backend.address, "ready")]).to_string());
+    let _watch = agent.next_request();
     std::fs::write(&file, config.to_string()).expect("the file is completed");
     let gateway = starting.listening(&config, file);
     thread::sleep(Duration::from_millis(1500));
@@ -346,7 +346,7 @@
     let mut client = gateway.client();
     client.send(&get(""));
     thread::sleep(Duration::from_millis(100));
-    agent.next().ok(&drains);
+    agent.next_request().ok(&drains);
     assert_eq!(client.read().status(), 429);
     assert_eq!(sent.load(Ordering::Relaxed), 0, "requests were sent to a draining server");
 }
@@ -362,8 +362,8 @@
     let mut config = config(agent.address, known.clone());
     config["settings"]["rules"]["stopSendingWithin"] = json!(1000.0);
     let gateway = GatewayProcess::start(&config);
-    agent.next().ok(&known.to_string());
-    let watch = agent.next();
+    agent.next_request().ok(&known.to_string());
+    let watch = agent.next_request();
     gateway.signal("-STOP");
     watch.ok(&json!({"rev": 1, "all": false, "targets": []}).to_string());
     thread::sleep(Duration::from_millis(100));
--- a/tests/gateway_process/peers.rs
+++ b/tests/gateway_process/peers.rs
@@ -130,7 +130,7 @@
         });
         Peer { address, exchanges }
     }
-    pub fn next(&self) -> Exchange {
+    pub fn next_request(&self) -> Exchange {
         self.exchanges.recv_timeout(TEST_TIMEOUT).expect("a request comes")
     }
 }
@@ -222,7 +222,7 @@
 /// others; they stay open without an answer.
 pub fn next_list_call(agent: &Peer) -> Exchange {
     loop {
-        let call = agent.next();
+        let call = agent.next_request();
         if !call.request.line.contains("&wait_ms=0 ") {
             return call;
         }
@@ -354,7 +354,7 @@
         GatewayProcess { child, address, file }
     }
     /// Starts a gateway whose configuration lists these backends and that cannot reach discovery.
-    pub fn before(backends: &[SocketAddr]) -> GatewayProcess {
+    pub fn with_backends(backends: &[SocketAddr]) -> GatewayProcess {
         let targets: Vec<Value> = backends
             .iter()
             .enumerate()
@@ -371,7 +371,7 @@
     pub fn serves_from(&self, backend: &Peer) {
         let mut client = self.client();
         client.send(&get(""));
-        backend.next().ok("served");
+        backend.next_request().ok("served");
         assert_eq!(client.read().status(), 200);
     }
     pub fn terminate(&self) {
@@ -570,7 +570,7 @@
 }
 
 /// The next request that reaches one of the two peers, and the index of that peer.
-pub fn next_of(peers: &[Peer; 2]) -> (Exchange, usize) {
+pub fn next_request_of(peers: &[Peer; 2]) -> (Exchange, usize) {
     let until = Instant::now() + TEST_TIMEOUT;
     loop {
         for (index, peer) in peers.iter().enumerate() {
--- a/tests/gateway_process/quota.rs
+++ b/tests/gateway_process/quota.rs
@@ -45,14 +45,14 @@
     let mut client = gateway.client();
     for usage in ["1e300", "-7", "inf", "NaN", "forty", "40\r\nUsage-Percent: 1e300"] {
         client.send(&get());
-        backend.next().answer("200 OK", &format!("Usage-Percent: {usage}\r\n"), "");
+        backend.next_request().answer("200 OK", &format!("Usage-Percent: {usage}\r\n"), "");
         assert_eq!(client.read().status(), 200, "before {usage:?}");
     }
     // The probability of refusals is updated once per meter period of 500 ms.
     thread::sleep(Duration::from_millis(600));
     for _ in 0..20 {
         client.send(&get());
-        backend.next().ok("");
+        backend.next_request().ok("");
         assert_eq!(client.read().status(), 200);
     }
 }
@@ -110,7 +110,7 @@
     let mut client = gateway.client();
     for n in 1..=8 {
         client.send(&get("").replace("spread=1", "spread=4"));
-        backend.next().ok("");
+        backend.next_request().ok("");
         assert_eq!(client.read().status(), 200, "request {n} of a burst of 40");
     }
 }
--- a/tests/gateway_process/reload.rs
+++ b/tests/gateway_process/reload.rs
@@ -110,7 +110,7 @@
     signal(&child, "-HUP");
     faulty.control.set(Faults::default());
     let _gateway = GatewayProcess::listening(child, &config, file);
-    second.next();
+    second.next_request();
 }
 
 // A file that is rewritten in place is truncated for a moment. If it is read only once at the signal, the new addresses
@@ -122,7 +122,7 @@
         let (backend, first, second) = (Peer::start(), Peer::start(), Peer::start());
         let mut config = config(first.address, list(&[target("s-00000001", backend.address, "ready")]));
         let gateway = GatewayProcess::start(&config);
-        let _call = first.next();
+        let _call = first.next_request();
         config["discovery"] = json!(second.address.to_string());
         std::fs::write(&gateway.file, cut(&config)).expect("a part is written");
         gateway.signal("-HUP");
@@ -130,7 +130,7 @@
         // The previous configuration stays valid.
         gateway.serves_from(&backend);
         std::fs::write(&gateway.file, config.to_string()).expect("the rest is written");
-        second.next();
+        second.next_request();
     }
 }
 
@@ -140,7 +140,7 @@
     let mut config = config(first.address, list(&[target("s-00000001", backend.address, "ready")]));
     let (log, writer) = UnixStream::pair().expect("a pair");
     let gateway = GatewayProcess::start_with(&config, Stdio::from(OwnedFd::from(writer)));
-    let _call = first.next();
+    let _call = first.next_request();
     config["discovery"] = json!(second.address.to_string());
     config["settings"]["plans"][0]["unitsPerS"] = json!(-1.0);
     std::fs::write(&gateway.file, config.to_string()).expect("the file is replaced");
@@ -182,7 +182,7 @@
     thread::sleep(Duration::from_millis(300));
     let mut client = gateway.client();
     client.send(&get(""));
-    backend.next().ok("served");
+    backend.next_request().ok("served");
     assert_eq!(client.read().status(), 200);
     gateway.terminate();
     drop(client);
@@ -211,7 +211,11 @@
     let file = write_config(&config);
     replace_by_pipe(&file);
     let starting = StartingGateway::spawn(&file, &config);
-    assert_eq!(agent.next().request.line, "GET /v1/servers HTTP/1.1", "discovery is called meanwhile");
+    assert_eq!(
+        agent.next_request().request.line,
+        "GET /v1/servers HTTP/1.1",
+        "discovery is called meanwhile"
+    );
     thread::sleep(Duration::from_millis(500));
     std::fs::write(&file, config.to_string()).expect("the pipe is read");
     thread::spawn(move || {
@@ -233,10 +237,10 @@
     let file = write_config(&config);
     std::fs::write(&file, &config.to_string()[..99]).expect("the file is truncated");
     let starting = StartingGateway::spawn(&file, &config);
-    assert_eq!(old.next().request.line, "GET /v1/servers HTTP/1.1", "discovery is called meanwhile");
+    assert_eq!(old.next_request().request.line, "GET /v1/servers HTTP/1.1", "discovery is called meanwhile");
     config["discovery"] = json!(new.address.to_string());
     std::fs::write(&file, config.to_string()).expect("the file is completed");
-    let call = new.next();
+    let call = new.next_request();
     assert_eq!(call.request.line, "GET /v1/servers HTTP/1.1");
     call.ok(&known.to_string());
     starting.listening(&config, file).serves_from(&backend);
--- a/tests/gateway_process/shutdown.rs
+++ b/tests/gateway_process/shutdown.rs
@@ -10,21 +10,21 @@
 #[test]
 fn sigterm_finishes_open_requests_closes_idle_connections_and_exits() {
     let backend = Peer::start();
-    let mut gateway = GatewayProcess::before(&[backend.address]);
+    let mut gateway = GatewayProcess::with_backends(&[backend.address]);
     let mut idle = gateway.client();
     idle.send(&get(""));
-    backend.next().ok("");
+    backend.next_request().ok("");
     assert_eq!(idle.read().status(), 200);
     let mut busy = gateway.client();
     busy.send(&post("open request"));
-    let open_exchange = backend.next();
+    let open_exchange = backend.next_request();
     gateway.terminate();
     // Until the gateway has received the signal, responses leave connections open.
     let until = Instant::now() + TEST_TIMEOUT;
     loop {
         let mut late = gateway.client();
         late.send(&get(""));
-        backend.next().ok("late");
+        backend.next_request().ok("late");
         let answer = late.read();
         assert_eq!(answer.status(), 200);
         if answer.header("connection") == "close" {
@@ -48,7 +48,7 @@
     let mut gateway = GatewayProcess::start(&config);
     let mut client = gateway.client();
     client.send(&post("a job").replace("4000m", "12000m"));
-    let _silent = backend.next();
+    let _silent = backend.next_request();
     let signalled_at = Instant::now();
     gateway.terminate();
     assert_eq!(client.read().status(), 504);
@@ -76,7 +76,7 @@
 fn idle_client(gateway: &GatewayProcess, backend: &Peer) -> Client {
     let mut idle = gateway.client();
     idle.send(&get(""));
-    backend.next().ok("");
+    backend.next_request().ok("");
     assert_eq!(idle.read().status(), 200);
     idle
 }
@@ -84,7 +84,7 @@
 #[test]
 fn partially_received_requests_are_served_when_idle_connections_are_closed() {
     let backend = Peer::start();
-    let mut gateway = GatewayProcess::before(&[backend.address]);
+    let mut gateway = GatewayProcess::with_backends(&[backend.address]);
     let (mut receiving, mut idle) = (idle_client(&gateway, &backend), idle_client(&gateway, &backend));
     let mut new = gateway.client();
     gateway.terminate();
@@ -94,11 +94,11 @@
     new.send(&first[..40]);
     idle.expect_close();
     receiving.send(&second[40..]);
-    backend.next().ok("served");
+    backend.next_request().ok("served");
     let answer = receiving.read();
     assert_eq!((answer.status(), answer.header("connection")), (200, "close"));
     new.send(&first[40..]);
-    backend.next().ok("served");
+    backend.next_request().ok("served");
     let answer = new.read();
     assert_eq!((answer.status(), answer.header("connection")), (200, "close"));
     assert!(gateway.child.wait().expect("it ends").success());
@@ -107,16 +107,16 @@
 #[test]
 fn new_client_is_served_while_the_last_requests_finish() {
     let backend = Peer::start();
-    let mut gateway = GatewayProcess::before(&[backend.address]);
+    let mut gateway = GatewayProcess::with_backends(&[backend.address]);
     let mut idle = idle_client(&gateway, &backend);
     let mut busy = gateway.client();
     busy.send(&post("open request"));
-    let open_exchange = backend.next();
+    let open_exchange = backend.next_request();
     gateway.terminate();
     wait_until_idle_connections_close(&gateway, &mut idle);
     let mut late = gateway.client();
     late.send(&get("/late"));
-    backend.next().ok("late");
+    backend.next_request().ok("late");
     assert_eq!(late.read().status(), 200);
     open_exchange.ok("finished");
     assert_eq!(busy.read().status(), 200);
@@ -131,7 +131,7 @@
     let mut gateway = GatewayProcess::start(&config);
     let mut busy = gateway.client();
     busy.send(&post("a job").replace("4000m", "12000m"));
-    let _silent = backend.next();
+    let _silent = backend.next_request();
     gateway.terminate();
     wait_until_unhealthy(&gateway);
     // A request may take 2.5 s to arrive: this one begins so late that its body may still be incomplete when the
@@ -155,10 +155,10 @@
     gateway.terminate();
     gateway.signal("-HUP");
     assert!(gateway.child.wait().expect("it ends").success());
-    let mut gateway = GatewayProcess::before(&[backend.address]);
+    let mut gateway = GatewayProcess::with_backends(&[backend.address]);
     let mut busy = gateway.client();
     busy.send(&post("open request"));
-    let open_exchange = backend.next();
+    let open_exchange = backend.next_request();
     gateway.terminate();
     wait_until_unhealthy(&gateway);
     gateway.terminate();
@@ -172,10 +172,10 @@
 #[test]
 fn requests_pipelined_before_sigterm_are_answered() {
     let backend = Peer::start();
-    let mut gateway = GatewayProcess::before(&[backend.address]);
+    let mut gateway = GatewayProcess::with_backends(&[backend.address]);
     let mut client = gateway.client();
     client.send(&format!("{}{}{}", get("/first"), post("second"), get("/third")));
-    let first = backend.next();
+    let first = backend.next_request();
     gateway.terminate();
     wait_until_unhealthy(&gateway);
     let mut expect_served = |exchange: Exchange, body: &str| {
@@ -184,7 +184,7 @@
         assert_eq!((answer.status(), String::from_utf8(answer.body).expect("text")), (200, body.to_string()));
     };
     expect_served(first, "first");
-    expect_served(backend.next(), "second");
-    expect_served(backend.next(), "third");
+    expect_served(backend.next_request(), "second");
+    expect_served(backend.next_request(), "third");
     assert!(gateway.child.wait().expect("it ends").success());
 }
--- a/tests/gateway_process/system_calls.rs
+++ b/tests/gateway_process/system_calls.rs
@@ -39,7 +39,7 @@
     let mut client = gateway.client();
     client.send(&post("waits"));
     stall_accepts(&faults, Duration::from_millis(700));
-    let exchange = backend.next();
+    let exchange = backend.next_request();
     let time_left =
         exchange.request.header("x-deadline").trim_end_matches('u').parse::<f64>().expect("a number");
     assert!(time_left <= 3_450_000.0, "{time_left} us left though 0.7 s of 4 s are over");
@@ -72,14 +72,14 @@
     let mut config = config(first.address, list(&[target("s-00000001", backend.address, "ready")]));
     let faults = FaultInjection::new();
     let gateway = faults.start(&config);
-    let _discovery_call = first.next();
+    let _discovery_call = first.next_request();
     config["discovery"] = json!(second.address.to_string());
     std::fs::write(&gateway.file, config.to_string()).expect("the file is replaced");
     faults.control.set(Faults { open_fails: 1.0, ..Faults::default() });
     gateway.signal("-HUP");
     thread::sleep(Duration::from_millis(500));
     faults.control.set(Faults::default());
-    second.next();
+    second.next_request();
 }
 
 #[test]
@@ -142,15 +142,15 @@
     config["settings"]["rules"]["stopSendingWithin"] = json!(10_000.0);
     let faults = FaultInjection::new();
     let _gateway = faults.start(&config);
-    agent.next().ok(&list(&[]).to_string());
+    agent.next_request().ok(&list(&[]).to_string());
     for _ in 0..5 {
-        let watch = agent.next();
+        let watch = agent.next_request();
         faults.control.set(Faults { connect_fails: 1.0, ..Faults::default() });
         watch.send_and_close("");
         thread::sleep(Duration::from_millis(1500));
         faults.control.set(Faults::default());
         let recovered = Instant::now();
-        agent.next().ok(&list(&[]).to_string());
+        agent.next_request().ok(&list(&[]).to_string());
         assert!(recovered.elapsed() < Duration::from_millis(300), "called {:?} later", recovered.elapsed());
     }
 }
