--- a/src/bin/brassport/client_connections.rs
+++ b/src/bin/brassport/client_connections.rs
@@ -131,7 +131,7 @@
     /// Closes the connection that its client is least likely to use again; false if there is none to close. The order
     /// is: after its last response, new and silent, idle for long, idle after a single request, new, any other idle.
     /// Of several the one longest in its stage is closed.
-    pub fn shed(&self) -> bool {
+    pub fn evict_one(&self) -> bool {
         let all = self.by_number.borrow();
         let longest_in = |stage, max_requests, min_time| {
             let matches = |state: &&Rc<ConnectionState>| {
@@ -160,7 +160,7 @@
     /// A proxy in front of this gateway may allow only a limited number of connections. Many clients that send one
     /// request and stay, open a new connection for each request or close late would use them all up long before
     /// descriptors run out here. The cost is that a client with rare requests has to reconnect when there are many.
-    pub fn sweep(&self, many_threshold: usize, closing: bool) {
+    pub fn close_expired(&self, many_threshold: usize, closing: bool) {
         let all = self.by_number.borrow();
         let many_connections = all.len() > many_threshold;
         for state in all.values().filter(|state| state.is_overdue(many_connections, closing)) {
@@ -219,7 +219,7 @@
         }
     }
     /// Records that part of a request was read.
-    pub fn bytes_read(&self) {
+    pub fn on_bytes_read(&self) {
         match self.stage() {
             Stage::Idle => self.set_stage(Stage::ReceivingRequest),
             Stage::Closing if self.state.is_unused() => self.set_stage(Stage::ReceivingRequest),
--- a/src/bin/brassport/client_stream.rs
+++ b/src/bin/brassport/client_stream.rs
@@ -314,7 +314,7 @@
         let filled_before = buffer.filled().len();
         let read = self.client_socket.poll_input(context, buffer);
         if buffer.filled().len() > filled_before {
-            self.tracked.bytes_read();
+            self.tracked.on_bytes_read();
         }
         read
     }
--- a/src/bin/brassport/clients.rs
+++ b/src/bin/brassport/clients.rs
@@ -120,7 +120,7 @@
     // are closed first.
     let free_descriptors = |least: usize| {
         while descriptors.available_permits() + client_connections.closing_count() < least {
-            if !client_connections.shed() && !context.backends.close_longest_idle() {
+            if !client_connections.evict_one() && !context.backends.close_longest_idle() {
                 return false;
             }
         }
@@ -148,7 +148,7 @@
                     return;
                 }
                 was_empty = empty;
-                client_connections.sweep(many_threshold, closing);
+                client_connections.close_expired(many_threshold, closing);
             }
         }
     }
--- a/src/bin/brassport/discovery/call.rs
+++ b/src/bin/brassport/discovery/call.rs
@@ -49,7 +49,7 @@
 }
 
 /// The result of a call.
-pub enum Outcome {
+pub enum CallOutcome {
     List(List),
     /// This machine could not start to connect, which says nothing about the service.
     LocalError,
@@ -59,21 +59,21 @@
 }
 
 /// For the trace.
-impl fmt::Display for Outcome {
+impl fmt::Display for CallOutcome {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Outcome::List(list) => list.fmt(f),
-            Outcome::LocalError => f.write_str("not sent: this machine could not start to connect"),
-            Outcome::Busy => f.write_str("discovery is at its capacity (503)"),
-            Outcome::Failed(failure) => failure.fmt(f),
+            CallOutcome::List(list) => list.fmt(f),
+            CallOutcome::LocalError => f.write_str("not sent: this machine could not start to connect"),
+            CallOutcome::Busy => f.write_str("discovery is at its capacity (503)"),
+            CallOutcome::Failed(failure) => failure.fmt(f),
         }
     }
 }
 
 /// Makes one call, on the connection of the previous one if that is still usable.
-pub async fn call(connection: &mut Option<HttpConnection>, address: SocketAddr, query: Query) -> Outcome {
+pub async fn call(connection: &mut Option<HttpConnection>, address: SocketAddr, query: Query) -> CallOutcome {
     let request = Request::get(query.path()).header(HOST, address.to_string()).body(Full::default());
-    let Ok(request) = request else { return Outcome::Failed(CallFailure::Invalid) };
+    let Ok(request) = request else { return CallOutcome::Failed(CallFailure::Invalid) };
     if let Some(open) = connection {
         if !open.is_usable().await {
             *connection = None;
@@ -83,18 +83,18 @@
         Some(open) => open,
         None => match timeout(CONNECT_TIMEOUT, HttpConnection::open(address)).await {
             Ok(Ok(open)) => connection.insert(open),
-            Ok(Err(error)) if retry::is_local(&error) => return Outcome::LocalError,
-            _ => return Outcome::Failed(CallFailure::Unreachable),
+            Ok(Err(error)) if retry::is_local(&error) => return CallOutcome::LocalError,
+            _ => return CallOutcome::Failed(CallFailure::Unreachable),
         },
     };
     match open.exchange(request, MAX_LIST_SIZE).await {
         Ok(answer) if answer.status() == StatusCode::OK => {
             let list = serde_json::from_slice(answer.body()).ok();
             let list = list.filter(|list: &List| list.all || query != Query::Full);
-            list.map_or(Outcome::Failed(CallFailure::Invalid), Outcome::List)
+            list.map_or(CallOutcome::Failed(CallFailure::Invalid), CallOutcome::List)
         }
-        Ok(answer) if answer.status() == StatusCode::SERVICE_UNAVAILABLE => Outcome::Busy,
-        Ok(_) => Outcome::Failed(CallFailure::Invalid),
-        Err(_) => Outcome::Failed(CallFailure::Broken),
+        Ok(answer) if answer.status() == StatusCode::SERVICE_UNAVAILABLE => CallOutcome::Busy,
+        Ok(_) => CallOutcome::Failed(CallFailure::Invalid),
+        Err(_) => CallOutcome::Failed(CallFailure::Broken),
     }
 }
--- a/src/bin/brassport/discovery/schedule.rs
+++ b/src/bin/brassport/discovery/schedule.rs
@@ -114,7 +114,7 @@
     }
 
     /// How long discovery may hold a watch open when it has no changes.
-    pub fn wait(&self) -> Duration {
+    pub fn watch_wait(&self) -> Duration {
         self.wait
     }
 
@@ -139,7 +139,7 @@
 
     /// The pause after a failed call that took `took`. Jitter over the whole interval lets gateways fall out of step;
     /// where the back-off is cut to its limit, only the upper half of the interval is used, to spare the service.
-    pub fn pause(&mut self, took: Duration) -> Duration {
+    pub fn next_pause(&mut self, took: Duration) -> Duration {
         let limit = MAX_CALL_AND_BACKOFF.saturating_sub(took).max(BACKOFF_LIMIT_AFTER_TIMEOUT);
         let (backoff, jitter) = (self.next_backoff, self.rng.rand_float());
         self.next_backoff = (2 * backoff).min(self.max_backoff);
@@ -151,7 +151,7 @@
     }
 
     /// Resets the back-off after an answer.
-    pub fn reset(&mut self) {
+    pub fn reset_backoff(&mut self) {
         self.next_backoff = self.first_backoff;
     }
 }
@@ -161,7 +161,7 @@
     use super::*;
 
     fn watch_timeout(schedule: &Schedule) -> Duration {
-        schedule.call_timeout(Query::Watch { after: 1, wait: schedule.wait() })
+        schedule.call_timeout(Query::Watch { after: 1, wait: schedule.watch_wait() })
     }
 
     /// The number of calls that `gateways` make in each second after a common start if every call fails.
@@ -172,7 +172,7 @@
             let mut at = Duration::ZERO;
             while let Some(count) = calls.get_mut(at.as_secs() as usize) {
                 *count += 1;
-                at += schedule.pause(Duration::ZERO);
+                at += schedule.next_pause(Duration::ZERO);
             }
         }
         calls
@@ -191,11 +191,11 @@
         for drain_grace in [300, 1000, 2000].map(Duration::from_millis) {
             let mut schedule = Schedule::new(Service::LocalAgent { drain_grace }, 7);
             // The agent is back right after a call was lost: the watch, or any of the calls after it.
-            let mut blind = watch_timeout(&schedule) + schedule.pause(watch_timeout(&schedule));
+            let mut blind = watch_timeout(&schedule) + schedule.next_pause(watch_timeout(&schedule));
             for _ in 0..1000 {
                 assert!(blind <= drain_grace.mul_f64(0.75), "no call for {blind:?} of {drain_grace:?}");
-                blind =
-                    schedule.call_timeout(Query::Full) + schedule.pause(schedule.call_timeout(Query::Full));
+                blind = schedule.call_timeout(Query::Full)
+                    + schedule.next_pause(schedule.call_timeout(Query::Full));
             }
         }
     }
@@ -205,7 +205,7 @@
     fn a_shared_watch_that_timed_out_is_reopened_within_4_s() {
         for gateways in [3, 100, 300] {
             let mut schedule = Schedule::new(Service::Shared { gateways }, u64::from(gateways));
-            let reopened = watch_timeout(&schedule) + schedule.pause(watch_timeout(&schedule));
+            let reopened = watch_timeout(&schedule) + schedule.next_pause(watch_timeout(&schedule));
             assert!(reopened <= Duration::from_millis(4000), "{gateways} gateways: after {reopened:?}");
         }
     }
@@ -219,7 +219,7 @@
             let longest = watch_timeout(&schedule);
             for n in 0..3000 {
                 let took = longest.mul_f64(f64::from(n * 7 % 11) / 10.0);
-                let blind = took + schedule.pause(took);
+                let blind = took + schedule.next_pause(took);
                 // Even if discovery is back just as a call times out, the next call is left 2 s.
                 let answer = schedule.answer_timeout.min(Duration::from_millis(2000));
                 assert!(
--- a/src/bin/brassport/discovery/watch.rs
+++ b/src/bin/brassport/discovery/watch.rs
@@ -1,6 +1,6 @@
 //! The watch on discovery.
 
-use super::call::{call, Outcome, Query};
+use super::call::{call, CallOutcome, Query};
 use super::list::List;
 use super::schedule::Schedule;
 use super::status::{CallFailure, DiscoveryStatus};
@@ -79,7 +79,7 @@
             let started = Instant::now();
             let is_watch = self.held_revision.get().is_some();
             match self.fetch(&mut connections, address).await {
-                Outcome::List(list) => {
+                CallOutcome::List(list) => {
                     self.handle_list(list);
                     if is_watch {
                         sleep_until(started + MIN_WATCH_INTERVAL).await;
@@ -87,12 +87,12 @@
                 }
                 // No back-off here: the agent may become unresponsive at any moment, with changes that this gateway
                 // counts as notified of.
-                Outcome::LocalError => sleep(MIN_WATCH_INTERVAL).await,
-                Outcome::Busy => {
+                CallOutcome::LocalError => sleep(MIN_WATCH_INTERVAL).await,
+                CallOutcome::Busy => {
                     connections = Connections::default();
                     self.pause(started).await;
                 }
-                Outcome::Failed(failure) => {
+                CallOutcome::Failed(failure) => {
                     connections = Connections::default();
                     self.status.call_failed(failure);
                     self.publish(Update::CallFailed);
@@ -105,11 +105,11 @@
     }
 
     /// Asks for the full list, or watches for changes after the revision held.
-    async fn fetch(&self, connections: &mut Connections, address: SocketAddr) -> Outcome {
+    async fn fetch(&self, connections: &mut Connections, address: SocketAddr) -> CallOutcome {
         let Some(after) = self.held_revision.get() else {
             return self.call_in_time(&mut connections.list, address, Query::Full).await;
         };
-        let wait = self.schedule.borrow().wait();
+        let wait = self.schedule.borrow().watch_wait();
         let watch = self.call_in_time(&mut connections.list, address, Query::Watch { after, wait });
         if self.schedule.borrow().is_shared() {
             return watch.await;
@@ -117,7 +117,7 @@
         tokio::select! {
             biased;
             outcome = watch => outcome,
-            failure = self.confirm(&mut connections.confirmation, address, after) => Outcome::Failed(failure),
+            failure = self.confirm(&mut connections.confirmation, address, after) => CallOutcome::Failed(failure),
         }
     }
 
@@ -127,15 +127,15 @@
         connection: &mut Option<HttpConnection>,
         address: SocketAddr,
         query: Query,
-    ) -> Outcome {
+    ) -> CallOutcome {
         let started = Instant::now();
         log::trace(SUBJECT, || format!("call to {address}: {}", query.path()));
         let call_timeout = self.schedule.borrow().call_timeout(query);
         let outcome = timeout(call_timeout, call(connection, address, query)).await;
-        let outcome = outcome.unwrap_or(Outcome::Failed(CallFailure::TimedOut));
+        let outcome = outcome.unwrap_or(CallOutcome::Failed(CallFailure::TimedOut));
         let took = started.elapsed();
         log::trace(SUBJECT, || format!("after {:.1} ms: {outcome}", took.as_secs_f64() * 1000.0));
-        if let Outcome::List(list) = &outcome {
+        if let CallOutcome::List(list) = &outcome {
             self.status.answered(list.rev);
             if self.schedule.borrow().max_unconfirmed().is_some() {
                 self.status.set_unconfirmed_since(started + query.min_wait(list, took));
@@ -156,7 +156,7 @@
         let mut connection = kept_connection.take();
         loop {
             match call(&mut connection, address, Query::Watch { after, wait: Duration::ZERO }).await {
-                Outcome::List(list) => {
+                CallOutcome::List(list) => {
                     *kept_connection = connection;
                     log::trace(SUBJECT, || format!("watch confirmed: {list}"));
                     self.status.confirmed();
@@ -165,16 +165,16 @@
                     }
                     return pending().await;
                 }
-                Outcome::LocalError => sleep(MIN_WATCH_INTERVAL).await,
-                Outcome::Busy => return CallFailure::TimedOut,
-                Outcome::Failed(failure) => return failure,
+                CallOutcome::LocalError => sleep(MIN_WATCH_INTERVAL).await,
+                CallOutcome::Busy => return CallFailure::TimedOut,
+                CallOutcome::Failed(failure) => return failure,
             }
         }
     }
 
     /// Handles the answer to a watch or to a call for the full list.
     fn handle_list(&self, list: List) {
-        self.schedule.borrow_mut().reset();
+        self.schedule.borrow_mut().reset_backoff();
         // A delta with a revision below the one held belongs to another list: the agent has restarted and counts anew.
         let is_applicable = list.all || self.held_revision.get().is_some_and(|held| held <= list.rev);
         self.held_revision.set(is_applicable.then_some(list.rev));
@@ -195,7 +195,7 @@
 
     /// Pauses after a failed call.
     async fn pause(&self, started: Instant) {
-        let pause = self.schedule.borrow_mut().pause(started.elapsed());
+        let pause = self.schedule.borrow_mut().next_pause(started.elapsed());
         sleep(pause).await;
     }
 
--- a/src/bin/brassport/main.rs
+++ b/src/bin/brassport/main.rs
@@ -100,7 +100,7 @@
 /// requests to finish.
 async fn start(signals: CaughtSignals) -> Result<(), String> {
     let mut signals =
-        signals.wait_on_runtime().map_err(|error| format!("cannot install signal handlers: {error}"))?;
+        signals.into_async().map_err(|error| format!("cannot install signal handlers: {error}"))?;
     let prepared = tokio::select! {
         biased;
         () = signals.termination.requested() => return Ok(()),
@@ -170,7 +170,7 @@
     let acceptor = Acceptor::new(listener, descriptors.clone(), listening_since);
     let mut serving = spawn_local(clients::serve(acceptor, context, descriptors));
 
-    spawn_local(reload::follow(hangups, move |config| {
+    spawn_local(reload::reload_on_hangup(hangups, move |config| {
         source.send_modify(|source| {
             // Another discovery may number its revisions differently.
             *source = Source { address: config.discovery, held_revision: None, ..*source };
--- a/src/bin/brassport/reload.rs
+++ b/src/bin/brassport/reload.rs
@@ -8,7 +8,7 @@
 
 /// Reads the file after each signal, for as long as the process runs. An invalid file changes nothing. A file that cannot
 /// be read, or is still being written, is read again until it succeeds, as the old addresses are about to close.
-pub async fn follow(mut hangups: Signal, apply: impl Fn(Config)) {
+pub async fn reload_on_hangup(mut hangups: Signal, apply: impl Fn(Config)) {
     while hangups.recv().await.is_some() {
         let mut pauses = Backoff::new();
         let mut reported = false;
--- a/src/bin/brassport/signals.rs
+++ b/src/bin/brassport/signals.rs
@@ -37,7 +37,7 @@
     ///
     /// # Errors
     /// If the system rejects a handler.
-    pub fn wait_on_runtime(self) -> io::Result<Signals> {
+    pub fn into_async(self) -> io::Result<Signals> {
         let hangups = signal(SignalKind::hangup())?;
         let terminations = signal(SignalKind::terminate())?;
         Ok(Signals { hangups, termination: Termination { signal: terminations, caught: self } })
--- a/src/counter_limits.rs
+++ b/src/counter_limits.rs
@@ -112,7 +112,7 @@
     }
 
     /// Sets the shared wall clock minus the clock of the times passed in.
-    pub fn set_clock(&mut self, offset: Millis) {
+    pub fn set_clock_offset(&mut self, offset: Millis) {
         self.clock_offset = offset;
     }
 
@@ -147,7 +147,7 @@
     }
 
     /// Marks a request's units as spent, as it is forwarded: they are not returned.
-    pub fn keep_drawn_units(&mut self, request: RequestId) {
+    pub fn mark_units_spent(&mut self, request: RequestId) {
         let drawn = self.held.range((request, BUCKET)..=(request, u64::MAX)).next().map(|(held, _)| *held);
         drawn.map(|key| self.held.remove(&key));
     }
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -60,7 +60,7 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct FleetClock {
+pub(crate) struct FleetTiming {
     pub now: Millis,
     pub mean_response_time: Millis,
 }
@@ -87,7 +87,7 @@
         self.servers.len()
     }
 
-    pub fn ready(&self) -> usize {
+    pub fn ready_count(&self) -> usize {
         self.preference.len()
     }
 
@@ -95,7 +95,7 @@
         self.servers.get(&id).map(|server| server.entry)
     }
 
-    pub fn sent_after(&self, since: Millis) -> usize {
+    pub fn in_flight_sent_after(&self, since: Millis) -> usize {
         let sent = |server: &Server| server.in_flight.iter().filter(|at| **at > since).count();
         self.servers.values().map(sent).sum()
     }
@@ -177,23 +177,23 @@
     }
 
     /// Response time relative to the fleet's mean; decays towards 1, so that avoided servers are tried again.
-    fn slowness(clock: FleetClock, server: &Server) -> f64 {
+    fn slowness(timing: FleetTiming, server: &Server) -> f64 {
         if server.slowness == 1.0 {
             // Skips the exponential: in a large fleet most servers never got an attempt from this gateway.
             return 1.0;
         }
-        let age = (clock.now - server.slowness_at).max(0.0) / clock.mean_response_time.max(1.0);
+        let age = (timing.now - server.slowness_at).max(0.0) / timing.mean_response_time.max(1.0);
         1.0 + (server.slowness - 1.0) * (-age / SLOWNESS_DECAY).exp()
     }
 
     /// Time since a server with attempts in flight last responded, in mean response times; 0 if it has none.
-    fn silence(clock: FleetClock, server: &Server) -> f64 {
+    fn silence(timing: FleetTiming, server: &Server) -> f64 {
         let Some(oldest) = server.in_flight.first() else { return 0.0 };
-        (clock.now - oldest.max(server.last_response)) / clock.mean_response_time.max(1.0)
+        (timing.now - oldest.max(server.last_response)) / timing.mean_response_time.max(1.0)
     }
 
-    pub fn is_hung(&self, clock: FleetClock, id: ServerId) -> bool {
-        self.servers.get(&id).is_none_or(|server| Fleet::silence(clock, server) > HUNG_AFTER)
+    pub fn is_hung(&self, timing: FleetTiming, id: ServerId) -> bool {
+        self.servers.get(&id).is_none_or(|server| Fleet::silence(timing, server) > HUNG_AFTER)
     }
 
     /// Also true after the ejection while an attempt is in flight: until one succeeds, the server gets one at
@@ -208,7 +208,7 @@
     /// had one.
     pub fn choose_server(
         &self,
-        clock: FleetClock,
+        timing: FleetTiming,
         settings: &Settings,
         idempotency: Idempotency,
         earlier_server: Option<ServerEntry>,
@@ -221,12 +221,12 @@
         let (mut ready, mut fleet_capacity) = (0.0, 0.0);
         for server in self.servers.values().filter(|server| server.entry.lifecycle == Lifecycle::Ready) {
             ready += 1.0;
-            fleet_capacity += Fleet::warm_up_share(settings, clock.now, server);
+            fleet_capacity += Fleet::warm_up_share(settings, timing.now, server);
         }
         let fleet_capacity =
             f64::max(fleet_capacity, ready / (COLD_LOAD_SHARE * settings.overload_multiple).max(1.0));
         // `subset` and `servers` are both sorted by identifier.
-        let mut subset = self.subset(settings, clock.now).into_iter().peekable();
+        let mut subset = self.subset(settings, timing.now).into_iter().peekable();
         // Cheapest server that is neither ejected nor tried before, and cheapest of the others.
         let mut best: [Option<(f64, ServerId)>; 2] = [None, None];
         for (&id, server) in &self.servers {
@@ -243,16 +243,16 @@
             if !same_dedup_scope || server.entry.lifecycle != Lifecycle::Ready {
                 continue;
             }
-            let warm_up_share = Fleet::warm_up_share(settings, clock.now, server);
+            let warm_up_share = Fleet::warm_up_share(settings, timing.now, server);
             let cold_and_chosen = warm_up_share < 1.0 && rng.rand_float() < warm_up_share / fleet_capacity;
             if warm_up_share < 1.0 && !cold_and_chosen {
                 continue;
             }
-            let silence = Fleet::silence(clock, server);
-            let ejected = Fleet::is_ejected(clock.now, server);
+            let silence = Fleet::silence(timing, server);
+            let ejected = Fleet::is_ejected(timing.now, server);
             let server_capacity = if server.entry.capacity > 0.0 { server.entry.capacity } else { 1.0 };
             let zone_cost = if server.entry.zone == settings.zone { 1.0 } else { OTHER_ZONE_COST };
-            let slowness = Fleet::slowness(clock, server).max(silence / 2.0).max(MIN_SLOWNESS);
+            let slowness = Fleet::slowness(timing, server).max(silence / 2.0).max(MIN_SLOWNESS);
             let expected_wait =
                 if cold_and_chosen { 0.0 } else { (server.in_flight.len() as f64 + 1.0) * slowness };
             let subset_cost = if in_subset { 1.0 } else { OUTSIDE_SUBSET_COST };
@@ -269,7 +269,7 @@
     /// Updates a server's health after an attempt that took `elapsed`; `class_mean` is the mean of its class.
     pub fn record_outcome(
         &mut self,
-        clock: FleetClock,
+        timing: FleetTiming,
         id: ServerId,
         outcome: Outcome,
         elapsed: Millis,
@@ -277,8 +277,8 @@
         actions: &mut Vec<Action>,
     ) {
         let Some(server) = self.servers.get_mut(&id) else { return };
-        server.slowness = Fleet::slowness(clock, server);
-        server.slowness_at = clock.now;
+        server.slowness = Fleet::slowness(timing, server);
+        server.slowness_at = timing.now;
         let max_slowness = 2.0 * HUNG_AFTER;
         let sample = (elapsed / class_mean).min(max_slowness);
         match outcome {
@@ -288,19 +288,19 @@
                 }
                 server.failures_in_row = 0;
                 server.ejected_until = 0.0;
-                server.last_response = clock.now;
+                server.last_response = timing.now;
                 server.slowness += SAMPLE_WEIGHT * (sample - server.slowness);
             }
             Outcome::Cancelled => server.slowness += SAMPLE_WEIGHT * (sample - server.slowness),
             Outcome::NotSent => {}
-            Outcome::InvalidRequest => server.last_response = clock.now,
+            Outcome::InvalidRequest => server.last_response = timing.now,
             // Each failure counts as a very slow response, and several in a row eject the server. This is
             // wrong where the request itself causes the failure.
             _ => {
                 server.failures_in_row += 1;
                 server.slowness += SAMPLE_WEIGHT * (max_slowness - server.slowness);
                 if matches!(outcome, Outcome::Overloaded | Outcome::Error) {
-                    server.last_response = clock.now;
+                    server.last_response = timing.now;
                 }
             }
         }
@@ -310,7 +310,7 @@
                     .push(Action::Log(format!("server {id} ejected: {FAILURES_TO_EJECT} failures in a row")));
             }
             let doublings = (server.failures_in_row - FAILURES_TO_EJECT).min(4);
-            server.ejected_until = clock.now + HEDGE_AFTER * class_mean * f64::from(1u32 << doublings);
+            server.ejected_until = timing.now + HEDGE_AFTER * class_mean * f64::from(1u32 << doublings);
         }
     }
 }
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -7,7 +7,7 @@
 //! gateways in one of the latest meter periods.
 
 use crate::counter_limits::{CounterLimits, LimitAnswer};
-use crate::fleet::{Fleet, FleetClock, HEDGE_AFTER};
+use crate::fleet::{Fleet, FleetTiming, HEDGE_AFTER};
 use crate::interface::*;
 use crate::meter::MeterPeriods;
 use oorandom::Rand64;
@@ -326,7 +326,7 @@
             },
             Event::Servers { kind, entries } => self.update_servers(kind, entries, actions),
             Event::CounterAnswer { key, result } => self.counter_answered(key, result, actions),
-            Event::WallClockStepped { offset } => self.counter_limits.set_clock(offset),
+            Event::WallClockStepped { offset } => self.counter_limits.set_clock_offset(offset),
             Event::CounterReplaced => self.counter_limits.counter_replaced(),
         }
         self.counter_limits.take_actions(self.now, TIMER_COUNTER_RETURNS, actions);
@@ -577,7 +577,7 @@
 
     /// This gateway's attempts in flight that were sent within the last `time` milliseconds.
     fn in_flight_sent_within(&self, time: Millis) -> f64 {
-        self.fleet.sent_after(self.now - time) as f64
+        self.fleet.in_flight_sent_after(self.now - time) as f64
     }
 
     /// At most once a second, logs the number of refusals and forgets idle customers.
@@ -629,8 +629,8 @@
         self.class_response_time.iter().zip(&self.class_mix).map(|(time, share)| time * share).sum()
     }
 
-    fn fleet_clock(&self) -> FleetClock {
-        FleetClock { now: self.now, mean_response_time: self.mean_response_time() }
+    fn fleet_timing(&self) -> FleetTiming {
+        FleetTiming { now: self.now, mean_response_time: self.mean_response_time() }
     }
 
     fn choose_server(&mut self, request: RequestId) -> Option<ServerId> {
@@ -640,7 +640,7 @@
             tracked.attempts.iter().find(|attempt| attempt.may_have_run).map(|attempt| attempt.server);
         let tried = |id| tracked.attempts.iter().any(|attempt| attempt.server.id == id);
         self.fleet.choose_server(
-            self.fleet_clock(),
+            self.fleet_timing(),
             &self.settings,
             idempotency,
             ran_on,
@@ -662,7 +662,7 @@
         if end.outcome == Outcome::Overloaded {
             self.last_overload_at = self.now;
         }
-        self.fleet.record_outcome(self.fleet_clock(), id, end.outcome, elapsed, usual, actions);
+        self.fleet.record_outcome(self.fleet_timing(), id, end.outcome, elapsed, usual, actions);
         if end.outcome == Outcome::Ok && self.fleet.entry(id).is_some() {
             update_average(&mut self.class_response_time[class], elapsed, SAMPLE_WEIGHT / 5.0);
         }
@@ -741,7 +741,7 @@
                 }
                 let max_budget = HEDGE_COST.max(self.fleet.len() as f64);
                 self.retry_budget = (self.retry_budget + RETRY_BUDGET_PER_REQUEST).min(max_budget);
-                self.counter_limits.keep_drawn_units(id);
+                self.counter_limits.mark_units_spent(id);
                 self.send_attempt(id, server, actions);
             }
         }
@@ -822,7 +822,7 @@
         if self.may_send_another(tracked) {
             self.send_another_attempt(id, actions);
         } else if idempotent && !self.may_hedge(tracked) && self.settings.may_cancel {
-            let hung = self.fleet.is_hung(self.fleet_clock(), last.server.id);
+            let hung = self.fleet.is_hung(self.fleet_timing(), last.server.id);
             let in_time =
                 self.now < tracked.arrived_at + self.settings.classes[tracked.request.class].latency_target;
             let attempts_left =
@@ -949,7 +949,7 @@
         }
         self.fleet.apply_list(self.settings.ordinal, self.now, kind, entries);
         self.queue_free_attempts =
-            QUEUE_FREE_PER_SERVER * self.fleet.ready() as f64 / f64::from(self.settings.gateways);
+            QUEUE_FREE_PER_SERVER * self.fleet.ready_count() as f64 / f64::from(self.settings.gateways);
         self.in_flight_limit = self.in_flight_limit.max(self.queue_free_attempts);
     }
 }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -192,7 +192,7 @@
             let Ok(text) = std::str::from_utf8(text) else {
                 return malformed("BORN params are not UTF-8");
             };
-            WireEvent::Start { seed: record.u64(3), settings: Box::new(settings(text)?) }
+            WireEvent::Start { seed: record.u64(3), settings: Box::new(parse_settings(text)?) }
         }
         20 => {
             let kind = match record.u8(3) {
@@ -293,7 +293,7 @@
 ///
 /// # Errors
 /// If a required key is missing or a value is invalid; the message names the setting.
-pub fn settings(text: &str) -> Result<Settings, WireError> {
+pub fn parse_settings(text: &str) -> Result<Settings, WireError> {
     let params = Params(text.lines().filter_map(|line| line.split_once('=')).collect());
     let classes = params.list("classes", |at| {
         let field = |name: &str| format!("{at}.{name}");
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,6 +1,6 @@
 //! The codec of the simulator's protocol and its adapter process: every kind of record, and malformed input.
 
-use springusher::wire::{settings, Batch, Reply, WireError, WireEvent, ACTION_SIZE, EVENT_SIZE};
+use springusher::wire::{parse_settings, Batch, Reply, WireError, WireEvent, ACTION_SIZE, EVENT_SIZE};
 use springusher::*;
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -58,7 +58,7 @@
 
 #[test]
 fn settings_are_parsed_and_unknown_keys_ignored() {
-    let read = settings(&settings_text()).expect("readable");
+    let read = parse_settings(&settings_text()).expect("readable");
     assert_eq!((read.gateways, read.ordinal, read.max_attempts, read.may_duplicate), (2, 1, 3, true));
     assert_eq!(read.classes[1].idempotency, Idempotency::Keyed { scope: DedupScope::Cell, window: 900.0 });
     assert_eq!((read.plans[0].rate, read.plans[0].burst, read.plans[0].excess_cost), (2.5, 9.0, 0.5));
@@ -71,16 +71,16 @@
         let key = line.split('=').next().expect("a key");
         let without: Vec<_> =
             settings_text().lines().filter(|other| *other != line).map(String::from).collect();
-        let error = settings(&without.join("\n")).expect_err(key).to_string();
+        let error = parse_settings(&without.join("\n")).expect_err(key).to_string();
         assert!(error.contains(key), "{key}: {error}");
         let broken = settings_text().replace(line, &format!("{key}=?"));
-        let error = settings(&broken).expect_err(key).to_string();
+        let error = parse_settings(&broken).expect_err(key).to_string();
         assert!(error.contains(key), "{key}: {error}");
     }
     for (good, bad) in
         [("unitsPerS=2.5", "unitsPerS=-1"), ("balancers=2", "balancers=0"), ("slo=700.0", "slo=NaN")]
     {
-        assert!(settings(&settings_text().replace(good, bad)).is_err(), "{bad}");
+        assert!(parse_settings(&settings_text().replace(good, bad)).is_err(), "{bad}");
     }
 }
 
@@ -177,7 +177,7 @@
     }
     let text = settings_text();
     let start = EventRecord::new(19, 3).put(3, &id).put(15, &(text.len() as u32).to_be_bytes());
-    let expected = WireEvent::Start { seed: 5, settings: Box::new(settings(&text).expect("readable")) };
+    let expected = WireEvent::Start { seed: 5, settings: Box::new(parse_settings(&text).expect("readable")) };
     assert_eq!(decode(start, text.as_bytes()).expect("readable"), (3, expected));
 }
 
@@ -205,10 +205,10 @@
     assert_eq!(bytes[15..23], 3000f64.to_be_bytes());
     assert_eq!(bytes[23..31], 77u64.to_be_bytes());
     assert!(
-        settings(&settings_text()).is_ok_and(|settings| !settings.counter),
+        parse_settings(&settings_text()).is_ok_and(|settings| !settings.counter),
         "no counter without the setting"
     );
-    let with_counter = settings(&(settings_text() + "\nfamilyInfo.counter=true"));
+    let with_counter = parse_settings(&(settings_text() + "\nfamilyInfo.counter=true"));
     assert!(with_counter.is_ok_and(|settings| settings.counter));
 }
 
