--- a/src/bin/brassport/client_connections.rs
+++ b/src/bin/brassport/client_connections.rs
@@ -1,6 +1,6 @@
 //! The registry of client connections: the stage of each, its time-outs, and which to close when descriptors run out.
 
-use crate::client_stream::Connection;
+use crate::client_stream::ClientSocket;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -131,7 +131,7 @@
     /// Closes the connection that its client is least likely to use again; false if there is none to close. The order
     /// is: after its last response, new and silent, idle for long, idle after a single request, new, any other idle.
     /// Of several the one longest in its stage is closed.
-    pub fn shed(&self) -> bool {
+    pub fn evict_one(&self) -> bool {
         let all = self.by_number.borrow();
         let longest_in = |stage, max_requests, min_time| {
             let matches = |state: &&Rc<ConnectionState>| {
@@ -160,7 +160,7 @@
     /// A proxy in front of this gateway may allow only a limited number of connections. Many clients that send one
     /// request and stay, open a new connection for each request or close late would use them all up long before
     /// descriptors run out here. The cost is that a client with rare requests has to reconnect when there are many.
-    pub fn sweep(&self, many_threshold: usize, closing: bool) {
+    pub fn close_expired(&self, many_threshold: usize, closing: bool) {
         let all = self.by_number.borrow();
         let many_connections = all.len() > many_threshold;
         for state in all.values().filter(|state| state.is_overdue(many_connections, closing)) {
@@ -200,7 +200,7 @@
     }
     /// Waits until the connection has to close, and returns what it was doing. If part of a request has arrived, read
     /// or not, an unused connection stays open; that is checked with a system call.
-    pub async fn close_requested(&self, connection: &Connection) -> CloseReason {
+    pub async fn close_requested(&self, client_socket: &ClientSocket) -> CloseReason {
         loop {
             self.state.close_requested.notified().await;
             if self.stage() != Stage::Closing {
@@ -212,14 +212,14 @@
                     _ => CloseReason::Answered,
                 };
             }
-            if connection.has_no_input() {
+            if client_socket.has_no_input() {
                 return CloseReason::Unused;
             }
             self.set_stage(Stage::ReceivingRequest);
         }
     }
     /// Records that part of a request was read.
-    pub fn bytes_read(&self) {
+    pub fn on_bytes_read(&self) {
         match self.stage() {
             Stage::Idle => self.set_stage(Stage::ReceivingRequest),
             Stage::Closing if self.state.is_unused() => self.set_stage(Stage::ReceivingRequest),
