--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -27,18 +27,17 @@
 /// gateways exceed the quota; a higher one refuses surges that come through this gateway alone.
 const UNSEEN_SURGE_FACTOR: f64 = 0.8;
 /// Fraction of its burst that a customer's bucket is assumed to hold at its first request here: most
-/// customers have used little. A higher value lets the others exceed the quota; a lower one refuses customers
-/// that have burst left.
+/// customers have used little. A higher value lets those that have used more exceed the quota; a lower one
+/// refuses customers that have burst left.
 const INITIAL_BUCKET_FILL: f64 = 0.75;
-/// Mean `retry_after` of a quota refusal, in meter periods. If shorter, clients retry before the admission
-/// chance has changed; if longer, they can retry less often within their deadline.
+/// Mean `retry_after` of a quota refusal, in meter periods. Without a meter, the mean is the time in which
+/// the quota allows one unit.
 const QUOTA_RETRY_AFTER_PERIODS: f64 = 0.3;
-/// Window for averaging a rate, in units of the quota (in readings, where they come less often). A shorter
-/// one has too few counts to say much about a rate; a longer one follows changes late.
+/// Window for averaging a rate: the time in which the quota allows this many units, or this many gaps between
+/// readings if that is longer. Fewer units or readings say little about a rate.
 const RATE_WINDOW_UNITS: f64 = 4.0;
-/// Weight of the plan's average use in the estimate for one customer, in units of its quota that readings
-/// cover. If lower, the first few readings decide alone; if higher, the average outweighs a customer's own
-/// readings.
+/// Weight of the plan's average use against the readings of one customer: that of readings over the time in
+/// which the quota allows this many units.
 const PLAN_PRIOR_UNITS: f64 = 0.5;
 /// Fraction of its quota that a customer is assumed to use and to offer until there are readings for its
 /// plan. A higher value refuses customers within their quota; a lower one lets heavy customers exceed it.
@@ -63,17 +62,16 @@
 /// requests of high worth are refused.
 const EVEN_REFUSAL_FRACTION: f64 = 0.1;
 /// Time over which this gateway's own observations of a customer decay to 1/e, in units of an even share of
-/// the quota. If shorter, too few requests count for an estimate; if longer, it follows changes late.
+/// the quota. If shorter, too few requests count for an estimate.
 const LOCAL_MEMORY_UNITS: f64 = 2.0;
-/// Weight of a new gap between readings in their moving average, from 0 to 1. A higher value overrates single
-/// gaps; a lower one follows changes late.
+/// Weight of a new gap between readings in their moving average, from 0 to 1.
 const READING_GAP_WEIGHT: f64 = 0.3;
 /// Idle time after which a customer is forgotten, in multiples of the time that its slowest token bucket
-/// takes to fill. If shorter, learned rates and buckets that are still filling get lost; if longer, customers
-/// that have left take up memory.
+/// takes to fill, or of 1 s if that is longer. Learned rates and the state of the buckets are lost with it.
 const IDLE_FILL_TIMES: f64 = 20.0;
-/// Weight of a new sample in moving averages over requests and responses, from 0 to 1: about the last 20
-/// samples count. A higher value overrates single samples; a lower one follows changes late.
+/// Weight of a new sample in moving averages, from 0 to 1. Averages over requests use half of it, so that
+/// about the last 20 count, and averages over responses a fifth of it, so that about the last 50 count.
+/// Averages over readings use at most all of it.
 const SAMPLE_WEIGHT: f64 = 0.1;
 /// Capacity share of a new gateway, from 0 to 1, as a slow start: hundreds may start at once, unaware of each
 /// other. A higher value lets them overload the servers; a lower one refuses requests that the servers had
@@ -83,13 +81,12 @@
 /// response after a pause changes the share too much; if shorter, a gateway with little traffic adapts too
 /// slowly.
 const MAX_RESPONSE_WEIGHT: f64 = 0.2;
-/// Least capacity share. Retries may come at a hundred times what the servers can do, and a higher value lets
-/// them keep the servers overloaded; at 0 nothing would be admitted whose response could raise the share
-/// again.
+/// Least capacity share. Retries may come at a hundred times the rate that the servers can handle; with a
+/// higher value they would keep the servers overloaded.
 const MIN_CAPACITY_SHARE: f64 = 0.01;
-/// Fraction of the latency target after which a response, or an attempt still in flight, is late: requests
-/// queue at the servers. A higher value detects queues too late; a lower one takes ordinary responses for
-/// overload.
+/// Fraction of the latency target after which a response, or an attempt still in flight, counts as late, a
+/// sign that requests queue at the servers. A higher value detects queues too late; a lower one takes
+/// ordinary responses for overload.
 const LATE_FRACTION: f64 = 0.35;
 /// Fraction of the capacity share that late responses remove per latency target of time. Together with
 /// `CAPACITY_GROWTH`, one late response in three is tolerated; a higher value tolerates fewer, a lower one
@@ -100,21 +97,21 @@
 /// recovers slowly.
 const CAPACITY_GROWTH: f64 = 0.3;
 /// Capacity share that is added to the current one when its growth is computed. A lower value makes recovery
-/// from a small share slow; a higher one raises load faster than late responses can show it.
+/// from a small share slow.
 const CAPACITY_GROWTH_BASE: f64 = 0.1;
 /// Attempts in flight per server, from all gateways together, that cause no queue. Up to its part of them a
 /// gateway ignores the capacity share: idle servers give no responses that could raise a share once it is
 /// low. A lower value leaves servers idle; a higher one lets all gateways together fill the queues.
 const QUEUE_FREE_PER_SERVER: f64 = 3.0;
-/// Factor on the in-flight limit at each late response. Together with `LIMIT_STEP`, about one late response
-/// in five is tolerated at any limit; a lower factor tolerates fewer, a higher one more.
+/// Factor on the in-flight limit at each late response. Together with `LIMIT_STEP`, one late response in five
+/// is tolerated at a limit of 20: more at smaller limits, and at least one in six at any larger one. A lower
+/// factor tolerates fewer, a higher one more.
 const LIMIT_SHRINK: f64 = 0.95;
 /// Attempts by which a timely response raises a small in-flight limit: a constant step gives every gateway a
-/// fair share. A higher value tolerates more late responses than one in five; a lower one recovers slowly.
+/// fair share. A higher value tolerates more late responses; a lower one recovers slowly.
 const LIMIT_STEP: f64 = 0.05;
 /// In-flight limit, in attempts, at which the step has grown to twice `LIMIT_STEP`. A higher value makes
-/// large limits tolerate fewer late responses than one in five; a lower one makes the shares of the gateways
-/// less fair.
+/// large limits tolerate fewer late responses; a lower one makes the shares of the gateways less fair.
 const LIMIT_STEP_DOUBLES_AT: f64 = 5.0;
 /// Further attempts that each first attempt adds to the retry budget. A higher value lets retries multiply an
 /// overload; a lower one leaves failed attempts without a retry.
@@ -155,7 +152,8 @@
 }
 
 impl TrackedRequest {
-    /// Until when idempotency allows a further attempt: infinite if no attempt may have run.
+    /// Until when idempotency allows a further attempt: always if the class is idempotent or no attempt may
+    /// have run, never if the class is not idempotent and one may have.
     fn may_repeat_until(&self, idempotency: Idempotency) -> Millis {
         match (idempotency, self.attempts.iter().find(|attempt| attempt.may_have_run)) {
             (_, None) | (Idempotency::Idempotent, _) => f64::INFINITY,
@@ -168,7 +166,7 @@
 #[derive(Debug, Default)]
 struct Customer {
     plan: usize,
-    /// Number of gateways that may receive its requests, with this one.
+    /// Number of gateways that may receive its requests, including this one.
     spread: f64,
     last_request_at: Millis,
     /// Estimated content in units, at `bucket_at`, of the quota's token bucket over all gateways. Later sends
@@ -182,12 +180,12 @@
     chance_history: VecDeque<(Millis, f64)>,
     /// Time and units of each first attempt that a reading may still cover, oldest first.
     recent_sends: VecDeque<(Millis, f64)>,
-    /// Units offered at this gateway and seconds of observation. Both decay, last at `local_decayed_at`.
+    /// Units offered at this gateway and seconds of observation, both decayed up to `local_decayed_at`.
     local_offered_units: f64,
     local_seconds: f64,
     local_decayed_at: Millis,
     /// Seconds that readings covered, and units that the other gateways sent and were offered in that time.
-    /// All three decay, last at `last_reading_at`.
+    /// All three are decayed up to `last_reading_at`.
     reading_seconds: f64,
     units_sent_elsewhere: f64,
     units_offered_elsewhere: f64,
@@ -252,8 +250,8 @@
     *average += weight * (sample - *average);
 }
 
-/// The chance that a request of one kind is admitted, where `share` of all requests are, and the kinds that
-/// come first in `order` go first. `mix` holds the weight of each kind among the requests.
+/// The chance that a request of `kind` is admitted when the fraction `share` of all requests is admitted and
+/// kinds earlier in `order` take precedence. `mix` holds the weight of each kind among the requests.
 fn chance_in_order(share: f64, mix: &[f64], order: &[usize], kind: usize) -> f64 {
     let total: f64 = mix.iter().sum();
     let mut left = share * total;
@@ -416,8 +414,8 @@
             (by_worth + even * (share * capacity - by_worth)).max(MIN_ADMISSION_CHANCE * capacity)
         };
         let (quota_chance, capacity_chance, draw) = (chance(1.0), chance(capacity), self.rng.rand_float());
-        // A retry that can't be answered within the latency target any more earns only the worth of a late
-        // response, so it gets only that fraction of the chance and leaves quota to requests in time.
+        // A retry that can't be answered within the latency target any more earns only `late_share` of its
+        // worth. It gets only that fraction of the chance, which leaves quota to requests in time.
         let late_factor = if since_first > 0.0 && since_first + response_time > class.latency_target {
             class.late_share.min(1.0)
         } else {
@@ -532,7 +530,8 @@
         }
         let decay = customer.reading_weight(&plan, now);
         customer.last_reading_at = Some(now);
-        // The units offered elsewhere are those sent there, divided by the chance in mid-period.
+        // Estimates the units offered elsewhere as those sent there, divided by the chance here in
+        // mid-period: the other gateways' chances are assumed to be the same.
         let earlier = customer.chance_history.iter().rev().find(|(at, _)| *at <= period_end - period / 2.0);
         let chance = earlier.or(customer.chance_history.front()).map_or(1.0, |earlier| earlier.1);
         let elsewhere = units - customer.units_sent(period_end - period, period_end);
@@ -788,8 +787,9 @@
             && self.now < tracked.arrived_at + class.latency_target
     }
 
-    /// Refuses a request that was queued for too long. Counts an attempt in flight for long as late; sends
-    /// another one or, where two at once are not allowed, cancels it if its server hangs.
+    /// Refuses a request that was queued for too long. Counts an attempt that has been in flight for long as
+    /// late and sends another one. Where two at once are not allowed, it cancels the attempt instead if the
+    /// class is idempotent and the server hangs.
     fn check_overdue(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(class) =
             self.requests.get(&id).filter(|tracked| !tracked.closed).map(|tracked| tracked.request.class)
