--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -6,22 +6,21 @@
 use std::collections::BTreeMap;
 
 /// Time without a response after which a server with attempts in flight counts as hung, in mean response
-/// times. Lower cancels attempts at servers that are merely slow; higher leaves requests waiting for it.
+/// times. Lower cancels attempts at servers that are merely slow; higher leaves requests waiting for longer.
 pub(crate) const HUNG_AFTER: f64 = 4.0;
 /// Age at which an attempt in flight may be hedged, in mean response times. Lower adds load through needless
 /// attempts; higher lets the hedge start too late to help. An ejection lasts at least this long, too.
 pub(crate) const HEDGE_AFTER: f64 = 3.0;
-/// Weight of a new sample in a server's average slowness (dimensionless): about the last 10 responses count.
-/// Higher lets single responses decide; lower notices a server that slows down too late.
+/// Weight of a new sample in a server's average slowness, from 0 to 1: about the last 10 responses count.
 const SAMPLE_WEIGHT: f64 = 0.1;
-/// Time, in mean response times, in which a measured slowness decays to a third of its distance from the
-/// mean. Shorter sends traffic back to a slow server too soon; longer avoids a recovered server for long.
+/// Time, in mean response times, in which a server's slowness gets closer to the mean again: to about a third
+/// of its distance. Shorter sends traffic back to a slow server too soon; longer avoids a recovered server for long.
 const SLOWNESS_DECAY: f64 = 20.0;
 /// Number of failures in a row that eject a server. Lower ejects healthy servers over chance failures; higher
 /// sends more requests to a server that fails.
 const FAILURES_TO_EJECT: u32 = 3;
-/// Share of `Settings::overload_multiple` up to which servers in slow start are loaded (dimensionless); the
-/// rest covers differences between requests and between gateways. Higher risks that a cold server collapses;
+/// Fraction of `Settings::overload_multiple` up to which servers in slow start are loaded; the rest is a
+/// margin for differences between requests and between gateways. Higher risks that a cold server collapses;
 /// lower leaves capacity unused while most of the fleet is in slow start.
 const COLD_LOAD_SHARE: f64 = 0.7;
 /// Factor on the cost of a server in another zone. It only breaks near ties: higher queues requests in the
@@ -39,9 +38,9 @@
 /// Least number of servers in a gateway's subset. With fewer, one slow or lost server affects much of the
 /// gateway's traffic; more needs more connections, each of them used less.
 const MIN_SUBSET: f64 = 8.0;
-/// Factor on the cost of a server outside the subset. At 2, requests leave the subset once its servers have
-/// one attempt in flight more than idle servers outside it. Lower needs more connections; higher queues
-/// requests in the subset while other servers are idle.
+/// Factor on the cost of a server outside the subset. At 2, an idle server outside it costs as much as one in
+/// it with one attempt in flight. Lower needs more connections; higher queues requests in the subset while
+/// other servers are idle.
 const OUTSIDE_SUBSET_COST: f64 = 2.0;
 
 #[derive(Debug)]
@@ -215,9 +214,10 @@
         tried: impl Fn(ServerId) -> bool,
         rng: &mut Rand64,
     ) -> Option<ServerId> {
-        // Avoids overloading a server in slow start: it is chosen at random, its share of the fleet's
-        // capacity being the probability, so that all gateways together load it no more for its capacity than
-        // a warm server. Drawback: it is underused where its current capacity is underestimated.
+        // Avoids overloading a server in slow start: a random draw, with its share of the fleet's capacity as
+        // the probability, decides whether it is preferred or left out. All gateways together then load it no
+        // more for its capacity than a warm server. Drawback: it is underused where its current capacity is
+        // underestimated.
         let (mut ready, mut fleet_capacity) = (0.0, 0.0);
         for server in self.servers.values().filter(|server| server.entry.lifecycle == Lifecycle::Ready) {
             ready += 1.0;
