--- a/src/counter_limits.rs
+++ b/src/counter_limits.rs
@@ -8,8 +8,8 @@
 use crate::interface::*;
 use std::collections::BTreeMap;
 
-/// Number of key bits that hold the customer. One bit distinguishes buckets from gauges, the rest hold the
-/// time window. Fewer makes customers share numbers; more makes the window wrap around sooner.
+/// Number of key bits that hold the customer. One bit distinguishes buckets from gauges; the remaining 30
+/// hold the time window. Fewer makes customers share numbers; more makes the window wrap around sooner.
 const CUSTOMER_BITS: u32 = 33;
 /// Key bit that is set for buckets and clear for gauges.
 const BUCKET: u64 = 1 << 63;
@@ -29,8 +29,7 @@
 /// Amount by which a call with a result raises that probability. Higher overloads the counter again; lower
 /// leaves requests uncounted for long after it has recovered.
 const ASK_INCREASE: f64 = 0.01;
-/// Weight of a bucket's answer in the average share that buckets admit (dimensionless): about the last 20
-/// count. Higher lets single answers decide; lower follows a change in demand too late.
+/// Weight of a bucket's answer in the average share that buckets admit, from 0 to 1: about the last 20 count.
 const ADMITTED_WEIGHT: f64 = 0.05;
 /// Least probability that the counter is asked. At 0 its recovery would never be noticed; higher adds load to
 /// an overloaded counter.
@@ -58,7 +57,7 @@
     Admit(Request),
     /// To acquire the slot of a running request again on a new counter.
     Reacquire(RequestId),
-    /// To return what a request no longer holds; after `until` the number is no longer used.
+    /// To return an amount that a request no longer holds; after `until` the number is no longer used.
     Return { until: Millis },
 }
 
@@ -138,7 +137,8 @@
         self.calls.start(key & !BUCKET, 1.0, 2.0 * self.gauge_window, call);
     }
 
-    /// Draws a request's units from its customer's bucket, scaled up for the requests that do not ask.
+    /// Draws a request's units from its customer's bucket, scaled up to cover the requests for which the
+    /// counter is not asked.
     pub fn draw_units(&mut self, now: Millis, request: &Request, plan: &Plan) {
         let (key, _) = self.window_key(now, bucket_window(plan), request);
         let units = request.units / self.ask_probability;
