--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,4 +1,5 @@
-//! The types through which a gateway and its host talk: settings, events and actions. No decision logic is here.
+//! The types that a gateway exchanges with its host, the program that does the I/O: settings, events and actions. No
+//! decision logic is here.
 
 use std::fmt;
 
@@ -110,9 +111,10 @@
     pub cold_capacity: f64,
     /// Slow start: time from a server's start until it has its full capacity, at most.
     pub warm_up_time: Millis,
-    /// A server in slow start collapses when it is sent more than this multiple of its current capacity ...
+    /// Slow start: a server collapses when it is sent more than this multiple of its current capacity for
+    /// `overload_after`.
     pub overload_multiple: f64,
-    /// ... for this long.
+    /// How long a server in slow start withstands more than `overload_multiple`.
     pub overload_after: Millis,
     /// Interval between two calls by the host.
     pub tick: Millis,
@@ -276,7 +278,7 @@
     pub class: usize,
     /// Units that it consumes of the quota.
     pub units: f64,
-    /// Number of gateways that may receive this customer's requests.
+    /// Number of gateways that may receive this customer's requests, including this one.
     pub spread: u32,
     /// Time until the client gives up on this request.
     pub expires_in: Millis,
@@ -364,7 +366,7 @@
     Timer(u64),
     /// The wall clock, which all gateways share, was stepped. Leads to no action.
     WallClockStepped {
-        /// Wall clock minus the host's clock from now on, where 0 stands for their difference at the start.
+        /// Wall clock minus the host's clock from now on; taken as 0 until the first such event.
         offset: Millis,
     },
     /// The counter was replaced by one that has none of the previous counter's numbers. All earlier calls have ended.
@@ -383,7 +385,7 @@
 pub enum RefusalReason {
     /// Its class or plan does not exist, or its units are not a valid amount.
     Malformed,
-    /// The random refusal that keeps its customer within the quota.
+    /// It is refused to keep its customer within the quota.
     Quota,
     /// The servers have no spare capacity.
     NoCapacity,
@@ -395,7 +397,7 @@
     Ceiling,
     /// No server is available.
     NoServer,
-    /// All its attempts failed, and none of them ran.
+    /// All its attempts failed without running, or none was sent by its deadline.
     NoAttemptRan,
 }
 
