--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -13,8 +13,8 @@
 pub(crate) const HEDGE_AFTER: f64 = 3.0;
 /// Weight of a new sample in a server's average slowness, from 0 to 1: about the last 10 responses count.
 const SAMPLE_WEIGHT: f64 = 0.1;
-/// Time, in mean response times, in which a server's slowness gets closer to the mean again: to about a third
-/// of its distance. Shorter sends traffic back to a slow server too soon; longer avoids a recovered server for long.
+/// Time, in mean response times, in which the distance of a server's slowness from the mean decays to about a
+/// third. Shorter sends traffic back to a slow server too soon; longer avoids a recovered one for long.
 const SLOWNESS_DECAY: f64 = 20.0;
 /// Number of failures in a row that eject a server. Lower ejects healthy servers over chance failures; higher
 /// sends more requests to a server that fails.
