--- a/tests/health.rs
+++ b/tests/health.rs
@@ -6,9 +6,9 @@
 use springusher::*;
 use std::collections::BTreeMap;
 
-/// Sends `rounds` requests, one every 20 ms, of which up to 3 wait for an answer that will come. `answer` gives the
-/// outcome for a server and the number of attempts sent to it so far, `None` for no answer at all. Returns the number
-/// of attempts sent to each server.
+/// Sends `rounds` requests, one every 20 ms. `answer` gives the outcome for a server and the number of attempts sent to
+/// it so far, `None` if the attempt never ends. An attempt with an outcome ends when 3 later ones are in flight. Returns
+/// the number of attempts sent to each server.
 fn run(
     host: &mut TestHost,
     rounds: usize,
@@ -17,7 +17,7 @@
     run_with_in_flight(host, rounds, 3, answer)
 }
 
-/// Like [`run`], with `max_in_flight` requests waiting instead of 3.
+/// Like [`run`], with `max_in_flight` later attempts instead of 3.
 fn run_with_in_flight(
     host: &mut TestHost,
     rounds: usize,
