--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -127,6 +127,6 @@
     // The gateway learns a response time of 2.5 s under overload, so no new request could meet its target of 1 s.
     send_with_response_time(&mut host, &[0], 2500.0, 60.0);
     host.now += 5000.0;
-    // With two gateways and eight servers, at least eight attempts from this gateway cause no queue.
+    // With two gateways and eight servers, up to 12 attempts from this gateway are assumed to cause no queue.
     assert!(burst(&mut host, 50, 0).0 >= 6);
 }
