--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -196,6 +196,6 @@
 fn an_entirely_cold_fleet_gets_part_of_the_requests_and_the_rest_is_refused() {
     let (_, warm) = attempts_of_two_hundred_gateways(0);
     let (cold, _) = attempts_of_two_hundred_gateways(10);
-    // Cold servers have a quarter of a warm one's capacity and collapse at half of it.
+    // A cold server has a quarter of a warm one's capacity and collapses at twice that load.
     assert!(cold > warm / 5 && cold < warm / 2, "{cold} attempts to a cold fleet, {warm} to a warm one");
 }
