--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -13,8 +13,8 @@
 /// Requests per second that the fleet is offered for each of its servers.
 const REQUESTS_PER_SERVER: f64 = 80.0;
 
-/// Greatest excess of the attempts that the cold server got within `overload_after` over its budget of N
-/// plus 2 * sqrt(N) + 2 for chance, during its first 6 seconds.
+/// Greatest excess, during its first 6 seconds, of the attempts that the cold server got within `overload_after` over
+/// N + 2 * sqrt(N) + 2: N is the number above which it collapses, the rest is a margin for chance.
 fn excess(gateways: u32, seed: u64) -> f64 {
     let base = Settings { cold_capacity: 0.17, warm_up_time: 15_000.0, overload_multiple: 2.5, ..settings() };
     let shared_settings = Settings { gateways, may_duplicate: true, overload_after: 1000.0, ..base };
