--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -40,7 +40,7 @@
         Just(ListKind::Failed)
     ];
     let state = prop_oneof![Just(Lifecycle::Ready), Just(Lifecycle::Draining), Just(Lifecycle::Gone)];
-    let ask = (0..4u64, 0..5usize, 0..4usize, 0.0..2.0, prop_oneof![Just(4000.0), 0.0..4000.0]).prop_map(
+    let request = (0..4u64, 0..5usize, 0..4usize, 0.0..2.0, prop_oneof![Just(4000.0), 0.0..4000.0]).prop_map(
         |(customer, plan, class, units, expires_in)| Step::Request {
             customer,
             plan,
@@ -50,7 +50,7 @@
         },
     );
     let step = prop_oneof![
-        6 => ask,
+        6 => request,
         5 => (any::<usize>(), 0..OUTCOMES.len(), quota_usage)
             .prop_map(|(pick, outcome, quota_usage)| Step::AttemptEnd { pick, outcome, quota_usage }),
         1 => any::<usize>().prop_map(|pick| Step::Disconnect { pick }),
