--- a/tests/meter.rs
+++ b/tests/meter.rs
@@ -49,7 +49,8 @@
 // came right when the next period was due was once taken for that period's, and the right reading after it was dropped
 // as old. For example at 10555 ms, with a learned delay of 0.3 periods, 11 units were taken for the period up to
 // 10400 ms: 3 were sent from here, so 8 seemed to come through other gateways, though the customer had none. Up to 7 of
-// 216 requests within the quota were refused, and at times (6 of 216) the process test of delayed readings failed.
+// 216 requests within the quota were refused, and at times (6 of 216) the process test
+// `quota::a_customer_within_its_quota_is_served_however_late_the_meter_reports` failed.
 #[test]
 fn a_customer_of_one_gateway_is_served_within_its_quota_whenever_periods_begin() {
     for delay in [150.0, 1250.0] {
