--- a/tests/gateway_process/clients.rs
+++ b/tests/gateway_process/clients.rs
@@ -298,7 +298,8 @@
     let targets: Vec<Value> =
         (1..=9).map(|n| target(&format!("s-0000000{n}"), backend.address, "ready")).collect();
     let mut config = config(closed_port(), list(&targets));
-    // Far more descriptors than are used here, but more than an eighth of them are client connections.
+    // Far more descriptors than are used here, but the 12 client connections take more than an eighth of those that
+    // clients and servers may use.
     config["limits"]["sockets"] = json!(112);
     let gateway = GatewayProcess::start(&config);
     let mut clients: Vec<Client> = (0..12).map(|_| gateway.client()).collect();
