--- a/tests/gateway_process/reload.rs
+++ b/tests/gateway_process/reload.rs
@@ -113,9 +113,9 @@
     second.next();
 }
 
-// A file that is rewritten in place is truncated for a moment. If it is read only once at the signal, the new addresses
-// are lost: `not reloaded: configuration: EOF while parsing ...`, and 6 s later the gateway still called the old
-// discovery, though it counts as notified of a change 4 s after the signal.
+// A file that is rewritten in place is truncated for a moment. When it was read only once at the signal, the new
+// addresses were lost: the log said `not reloaded: configuration: EOF while parsing ...`, and 6 s later the gateway still
+// called the old discovery, though a change has to take effect within 4 s of the signal.
 #[test]
 fn a_file_that_is_truncated_at_the_signal_is_applied_once_it_is_complete() {
     for cut in [first_half, |_: &Value| String::new()] {
@@ -154,7 +154,7 @@
     assert!(log.contains(expected), "{log}");
 }
 
-// A start retries a truncated file for 20 s, as it does one that fails with EIO. Otherwise it exits at once with code 1.
+// A start retries a truncated file for up to 20 s, like one that fails with EIO. Earlier it exited at once with code 1.
 #[test]
 fn a_start_waits_for_a_file_that_is_still_being_written() {
     for cut in [first_half, |_: &Value| String::new()] {
@@ -201,8 +201,8 @@
     assert!(status.success(), "{status}");
 }
 
-// The first reading is slow, and discovery is called before it ends. A second reading at the same time would take part
-// of the pipe's content from the first.
+// The first reading is slow, and discovery is called before it ends. A second reading at the same time would take the
+// content of the pipe from the first.
 #[test]
 fn a_start_whose_file_takes_half_a_second_to_open_serves_by_that_file() {
     let (backend, agent) = (Peer::start(), Peer::start());
