--- a/tests/gateway_process/process.rs
+++ b/tests/gateway_process/process.rs
@@ -28,7 +28,7 @@
     let servers = list(&[target("s-00000001", closed_port(), "draining")]);
     let gateway = GatewayProcess::start_with(&config(closed_port(), servers), log);
     let mut client = gateway.client();
-    // The decision module logs once a second that no server is ready.
+    // No server is ready, and the decision module logs its refusals once a second.
     let until = Instant::now() + Duration::from_millis(2500);
     while Instant::now() < until {
         assert_eq!(client.send(&get("")).read().status(), 429);
@@ -44,7 +44,7 @@
     let mut gateway = GatewayProcess::start_with(&config, Stdio::piped());
     drop(gateway.child.stderr.take());
     let mut client = gateway.client();
-    // The decision module logs once a second that no server is ready.
+    // No server is ready, and the decision module logs its refusals once a second.
     let until = Instant::now() + Duration::from_millis(2500);
     while Instant::now() < until {
         assert_eq!(client.send(&get("")).read().status(), 429);
@@ -63,8 +63,8 @@
     assert_eq!(stderr, "brassport: setting plans[0].rate: must be a finite number, not below 0\n");
 }
 
-// The thread that ends the process wrote the last line itself and had to wait for others that held standard error: the
-// process was still running 8 s after SIGTERM.
+// The thread that ends the process wrote the last line itself and had to wait for the writer that held standard error:
+// the process was still running 8 s after SIGTERM.
 #[test]
 fn unread_log_does_not_delay_the_exit() {
     for trace in ["0", "1"] {
