--- a/tests/gateway_process/peers.rs
+++ b/tests/gateway_process/peers.rs
@@ -314,7 +314,7 @@
     })
 }
 
-/// The same with a plan whose concurrency limit of 2 two gateways share through a counter.
+/// Like [`config`], for two gateways that share a concurrency limit of 2 through a counter.
 pub fn capped_config(backend: SocketAddr, counter: SocketAddr) -> Value {
     let mut config = config(closed_port(), list(&[target("s-00000001", backend, "ready")]));
     config["counter"] = json!(counter.to_string());
@@ -343,7 +343,7 @@
         let child = spawn(&file, config, stderr);
         GatewayProcess::listening(child, config, file)
     }
-    /// Waits until a process that was started listens.
+    /// Waits until a started process listens.
     pub fn listening(child: Child, config: &Value, file: PathBuf) -> GatewayProcess {
         let address = config["listen"].as_str().expect("an address").parse().expect("an address");
         let until = Instant::now() + TEST_TIMEOUT;
@@ -419,7 +419,7 @@
     path
 }
 
-/// A gateway process that was started and may not listen yet. It is killed when a test fails before it does.
+/// A gateway process that was started and may not listen yet. It is killed if the test fails before it listens.
 pub struct StartingGateway(Option<Child>);
 
 impl StartingGateway {
