--- a/tests/gateway_process/discovery.rs
+++ b/tests/gateway_process/discovery.rs
@@ -14,10 +14,10 @@
     let discovery = Discovery::start(list(&[]));
     let backend = Peer::start();
     let gateway = GatewayProcess::start(&config(discovery.address, list(&[])));
-    let ask = "GET /healthz HTTP/1.1\r\nHost: backend.local\r\n\r\n";
-    assert_eq!(gateway.client().send(ask).read().status(), 503);
+    let health_check = "GET /healthz HTTP/1.1\r\nHost: backend.local\r\n\r\n";
+    assert_eq!(gateway.client().send(health_check).read().status(), 503);
     discovery.push_targets(json!([target("s-00000001", backend.address, "ready")]));
-    assert_eq!(gateway.client().send(ask).read().status(), 200);
+    assert_eq!(gateway.client().send(health_check).read().status(), 200);
 }
 
 #[test]
