--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -36,8 +36,8 @@
 /// Window for averaging a rate: the time in which the quota allows this many units, or this many gaps between
 /// readings if that is longer. Fewer units or readings say little about a rate.
 const RATE_WINDOW_UNITS: f64 = 4.0;
-/// Weight of the plan's average use against the readings of one customer: that of readings over the time in
-/// which the quota allows this many units.
+/// Weight of the plan's average use in the estimate for one customer: it counts as much as readings of that
+/// customer over the time in which the quota allows this many units.
 const PLAN_PRIOR_UNITS: f64 = 0.5;
 /// Fraction of its quota that a customer is assumed to use and to offer until there are readings for its
 /// plan. A higher value refuses customers within their quota; a lower one lets heavy customers exceed it.
@@ -67,7 +67,7 @@
 /// Weight of a new gap between readings in their moving average, from 0 to 1.
 const READING_GAP_WEIGHT: f64 = 0.3;
 /// Idle time after which a customer is forgotten, in multiples of the time that its slowest token bucket
-/// takes to fill, or of 1 s if that is longer. Learned rates and the state of the buckets are lost with it.
+/// takes to fill, or of 1 s if that is longer. Its learned rates and bucket levels are then lost.
 const IDLE_FILL_TIMES: f64 = 20.0;
 /// Weight of a new sample in moving averages, from 0 to 1. Averages over requests use half of it, so that
 /// about the last 20 count, and averages over responses a fifth of it, so that about the last 50 count.
@@ -89,12 +89,11 @@
 /// ordinary responses for overload.
 const LATE_FRACTION: f64 = 0.35;
 /// Fraction of the capacity share that late responses remove per latency target of time. Together with
-/// `CAPACITY_GROWTH`, one late response in three is tolerated; a higher value tolerates fewer, a lower one
-/// more.
+/// `CAPACITY_GROWTH`, about one late response in three is tolerated at a full share, and more at a small one.
+/// A higher value tolerates fewer, a lower one more.
 const CAPACITY_CUT: f64 = 0.7;
 /// Growth of the capacity share by timely responses per latency target of time, as a fraction of the share
-/// plus `CAPACITY_GROWTH_BASE`. A higher value tolerates more late responses than one in three; a lower one
-/// recovers slowly.
+/// plus `CAPACITY_GROWTH_BASE`. A higher value tolerates more late responses; a lower one recovers slowly.
 const CAPACITY_GROWTH: f64 = 0.3;
 /// Capacity share that is added to the current one when its growth is computed. A lower value makes recovery
 /// from a small share slow.
@@ -230,8 +229,8 @@
     /// Fraction of the requests within the quotas that the servers have capacity for, and its last change.
     capacity_share: f64,
     capacity_share_at: Millis,
-    /// Attempts in flight up to which the capacity share and the in-flight limit are ignored; see
-    /// `QUEUE_FREE_PER_SERVER`.
+    /// Attempts in flight up to which the capacity share and the in-flight limit are ignored, unless a server
+    /// reported overload within the last latency target; see `QUEUE_FREE_PER_SERVER`.
     queue_free_attempts: f64,
     /// When a server last turned a request away as overloaded.
     last_overload_at: Millis,
