--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -38,9 +38,9 @@
 /// Least number of servers in a gateway's subset. With fewer, one slow or lost server affects much of the
 /// gateway's traffic; more needs more connections, each of them used less.
 const MIN_SUBSET: f64 = 8.0;
-/// Factor on the cost of a server outside the subset. At 2, an idle server outside it costs as much as one in
-/// it with one attempt in flight. Lower needs more connections; higher queues requests in the subset while
-/// other servers are idle.
+/// Factor on the cost of a server outside the subset. At 2, an idle server outside it costs as much as an
+/// equally fast one in it with one attempt in flight. Lower needs more connections; higher queues requests in
+/// the subset while other servers are idle.
 const OUTSIDE_SUBSET_COST: f64 = 2.0;
 
 #[derive(Debug)]
@@ -51,7 +51,7 @@
     /// Average duration of its attempts relative to the mean of their class, as of `slowness_at`.
     slowness: f64,
     slowness_at: Millis,
-    /// Time of its last response.
+    /// Time of its last response; before the first one, when it was first listed.
     last_response: Millis,
     /// Number of failures since its last success.
     failures_in_row: u32,
