--- a/tests/gateway_process/process.rs
+++ b/tests/gateway_process/process.rs
@@ -1,4 +1,4 @@
-//! Invalid configurations and a log that is not read.
+//! Invalid configurations, and a log that is full, closed or not read.
 
 use crate::peers::*;
 use serde_json::json;
