--- a/src/bin/brassport/discovery/schedule.rs
+++ b/src/bin/brassport/discovery/schedule.rs
@@ -4,18 +4,17 @@
 use oorandom::Rand32;
 use std::time::Duration;
 
-/// How long discovery may hold a watch open when it has no changes. With a local agent it is only the upper limit of that,
-/// and of the other time-outs and pauses. A longer wait detects an unresponsive discovery later, a shorter one makes more
-/// calls.
+/// How long a shared service may hold a watch open when it has no changes. With a local agent it is only the upper
+/// limit of that time, and of the other time-outs and pauses.
 const MAX_WATCH_WAIT: Duration = Duration::from_millis(1000);
-/// The time-out of an answer of a shared service, for a watch beyond its wait, without what each gateway adds to it. A
-/// longer one detects an unresponsive service later, a shorter one gives up calls that would have been answered.
+/// The time-out of an answer of a shared service, for a watch beyond its wait. `ANSWER_TIMEOUT_PER_GATEWAY` is added to
+/// it.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1000);
 /// A gateway counts as notified of every change that its local agent has, whether or not the change arrived here. An
 /// agent that was unresponsive never answers a call that it received then, even if it is back a moment later. So each
 /// span in which a call may be lost is a fraction of the drain grace, the time within which sends to a draining server
 /// must stop: the wait of a watch, the time-out of an answer beyond that, and the first and the longest pause after a
-/// failed call. Larger fractions let a lost call delay a change beyond the grace, smaller ones make more calls.
+/// failed call.
 const AGENT_WAIT_FRACTION: f64 = 0.4;
 const AGENT_ANSWER_TIMEOUT_FRACTION: f64 = 0.2;
 const AGENT_FIRST_BACKOFF_FRACTION: f64 = 0.1;
@@ -37,7 +36,8 @@
 /// and the wait for the next answer together below 6 s for any number of gateways.
 /// This one limits the time-out of an answer, however many gateways add to it.
 const MAX_ANSWER_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Limit on the duration of a failed call together with the pause after it.
+/// Limit on the duration of a failed call together with the pause after it, except for the pause that
+/// `BACKOFF_LIMIT_AFTER_TIMEOUT` still allows.
 const MAX_CALL_AND_BACKOFF: Duration = Duration::from_millis(3300);
 /// Limit on the pause after a call that took so long that less than this is left of `MAX_CALL_AND_BACKOFF`. Without it
 /// gateways whose calls time out would call again at once, and together.
