--- a/src/bin/brassport/discovery/watch.rs
+++ b/src/bin/brassport/discovery/watch.rs
@@ -16,8 +16,8 @@
 use tokio::sync::watch::Receiver;
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-/// Minimum time from the start of a watch to the start of the next one, and the pause after a call that this machine could
-/// not start. A shorter one lets an agent that answers every call at once keep the gateway busy.
+/// Minimum time from the start of a watch to the start of the next one, so that an agent that answers every call at
+/// once does not keep the gateway busy. Also the pause after a call that this machine could not start.
 const MIN_WATCH_INTERVAL: Duration = Duration::from_millis(20);
 /// Time from the start of a watch to the call that confirms it. The agent has to have received the watch by then.
 const CONFIRMATION_DELAY: Duration = Duration::from_millis(5);
@@ -175,7 +175,7 @@
     /// Handles the answer to a watch or to a call for the full list.
     fn handle_list(&self, list: List) {
         self.schedule.borrow_mut().reset();
-        // A delta with a revision below the one held belongs to another list: the agent has restarted and counts anew.
+        // A delta with a revision below the one held belongs to another list, so the full list is needed.
         let is_applicable = list.all || self.held_revision.get().is_some_and(|held| held <= list.rev);
         self.held_revision.set(is_applicable.then_some(list.rev));
         if is_applicable {
@@ -218,7 +218,7 @@
 
     fn withdraw_list(&self) {
         log::line(
-            "list of servers withdrawn: discovery does not answer, and a change from between two watches may be missing"
+            "list of servers withdrawn: discovery did not confirm it in time, so changes to it may be missing"
                 .to_string(),
         );
         self.status.confirmed();
