--- a/src/bin/brassport/dispatcher.rs
+++ b/src/bin/brassport/dispatcher.rs
@@ -25,7 +25,7 @@
 /// The final answer to a client's request.
 pub enum Answer {
     Served(Response<Bytes>),
-    /// The request did not run and may safely be retried; after this time, if it is above 0.
+    /// The request did not run and may safely be retried, after this time if it is above 0.
     Refused(Millis),
     Failed,
 }
@@ -216,7 +216,7 @@
             self.backends.retain(|id| listed.contains(&id));
             inner.listed_backends.retain(|id, _| listed.contains(id));
         }
-        // Every new backend has a new uid, so the entries of removed ones would accumulate.
+        // Every new backend has a new uid, so without this the entries of removed ones would accumulate.
         for id in &gone {
             inner.listed_backends.remove(id);
         }
@@ -335,7 +335,7 @@
                     && (pending.may_have_run || pending.attempts.iter().rev().skip(1).any(Option::is_some))
                 {
                     self.guard.record_violation(Violation::Repeated, &pending.client_request_id);
-                    // The latest time to begin is already over, so the guard stops the attempt.
+                    // Sets the latest start of the attempt to the past, so that the guard stops it.
                     time_limits.0 = f64::NEG_INFINITY;
                 }
                 let attempt = self.clone().run_attempt(
@@ -370,7 +370,7 @@
                 }
                 inner.timers.push(Reverse((at, token)));
             }
-            // The process watches the server list from its start.
+            // Needs no action: the process watches the server list from its start.
             Action::WatchServers => {}
             Action::AddToCounter { key, amount, ttl } => self.counter.add(key, amount, ttl),
             Action::Log(text) => log::line(text),
