--- a/src/bin/brassport/backends.rs
+++ b/src/bin/brassport/backends.rs
@@ -26,8 +26,7 @@
 /// Time after a response during which its connection is not reused. Bytes beyond the response may arrive some
 /// milliseconds late; once the next request is sent, they would be read as its response.
 const REUSE_DELAY: Duration = Duration::from_millis(20);
-/// Interval between two checks of the idle connections. A longer one keeps dead connections and their file descriptors
-/// for longer.
+/// Interval between two checks of the idle connections.
 const SWEEP_PERIOD: Duration = Duration::from_secs(1);
 /// Highest usage that is accepted from the meter, in percent of the rate. No customer can use more: a burst is
 /// some seconds of its rate, and gateways do not forward excess requests for long.
