--- a/src/bin/brassport/retry.rs
+++ b/src/bin/brassport/retry.rs
@@ -9,8 +9,7 @@
 
 /// Time between the first failure and the next try.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
-/// Longest time between a failure and the next try. Shorter ones burden a system that is short of resources; longer
-/// ones delay the recovery.
+/// Longest time between a failure and the next try.
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
 
 /// Whether the same call may succeed later.
