--- a/src/bin/brassport/clock.rs
+++ b/src/bin/brassport/clock.rs
@@ -12,10 +12,10 @@
 /// Smallest change of the offset between the two clocks that counts as a step, in milliseconds. Smaller ones come
 /// from slewing of the wall clock or from an interruption between the two readings.
 const MIN_STEP: Millis = 50.0;
-/// Shortest time between two readings of the wall clock, in milliseconds. A longer one leaves it open for longer
-/// whether a step had already happened at a given moment; a shorter one costs more system calls.
+/// Shortest time between two readings of the wall clock, in milliseconds. The moment of a step is known only to lie
+/// between two readings.
 const SAMPLE_PERIOD: Millis = 10.0;
-/// Most segments that are kept. With fewer, times from before the oldest remaining step are converted less exactly.
+/// Most segments that are kept; the oldest is dropped first.
 const MAX_SEGMENTS: usize = 16;
 
 /// A span of the module's clock with a constant offset of the wall clock.
@@ -90,10 +90,11 @@
     }
 
     /// Converts a past time of another machine's wall clock to the module's clock. Where a step makes it ambiguous,
-    /// the result is the latest candidate, so that a server is taken for younger than it is and never for older.
+    /// the result is the latest candidate, so that a server may seem younger than it is but never older.
     ///
-    /// A time before the first segment is converted to the start of that segment. How long before it lies is unknown: a
-    /// step that the process has not observed makes it wrong by any amount, and no input of a new process shows it.
+    /// A time before the first segment is converted to the start of that segment. How long before that it was is
+    /// unknown: a step of the wall clock that is not recorded here would make the result wrong by any amount, and a new
+    /// process receives nothing from which it could detect such a step.
     pub fn module_time_of(&self, wall: Millis) -> Millis {
         let now = self.now();
         let segments = self.segments.borrow();
@@ -148,7 +149,7 @@
     }
 
     #[test]
-    fn a_time_however_long_before_the_start_of_the_process_is_converted_to_none_before_it() {
+    fn no_time_is_converted_to_one_before_the_start_of_the_process() {
         for step in [-3_600_000.0, -4000.0, 4000.0, 3_600_000.0] {
             let clock = stepped_a_second_ago(step);
             for age in [60_100.0, 70_000.0, 90_000_000.0] {
