--- a/src/bin/brassport/clients.rs
+++ b/src/bin/brassport/clients.rs
@@ -31,26 +31,20 @@
 use tokio::time::{interval, timeout, timeout_at, Instant, MissedTickBehavior};
 
 /// Subtracted from each client deadline. Clients measure from sending a request to receiving the whole
-/// response, so this covers the transit both ways. If it is too short, responses arrive after the client has
-/// given up; if it is too long, requests are refused or failed that could still be answered.
+/// response, so this covers the transit both ways.
 const TRANSIT_ALLOWANCE: Duration = Duration::from_millis(4);
 /// File descriptors kept free for attempts when a connection is accepted. Idle connections are closed to free
-/// them, and a new connection for which they cannot be freed gets only refusals. If this is too low, attempts
-/// find no descriptor; if it is too high, connections are closed and clients refused without need.
+/// them, and a new connection for which they cannot be freed gets only a refusal.
 const ATTEMPT_RESERVE: usize = 64;
 /// The reserve is at most the number of all descriptors divided by this.
 const RESERVE_DIVISOR: usize = 4;
-/// Clients have many connections, and idle ones get shorter time-outs, above the number of all descriptors
-/// divided by this. Higher makes clients reconnect more often; lower leaves more idle connections open.
+/// With more client connections than the number of all descriptors divided by this, idle ones get shorter time-outs.
 const MANY_CONNECTIONS_DIVISOR: usize = 8;
-/// Size limit of a request head in bytes; a longer one gets a 431 response. It is also the limit of the buffer of each
-/// connection, so higher costs memory.
+/// Size limit of a request head in bytes, and of the buffer of each connection.
 const HEAD_LIMIT: usize = 16 * 1024;
-/// Interval between checks for connections whose time is up; they may outlast their time-outs by as much. Shorter costs
-/// processor time.
+/// Interval between checks for connections whose time-outs have expired.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
-/// How long writing the rest of a response may take on a connection that is being closed. Shorter truncates responses
-/// to slow clients; longer holds descriptors for clients that do not read.
+/// How long writing the rest of a response may take on a connection that is being closed.
 const FINAL_WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 /// The response to a request that does not arrive completely in time.
 const REQUEST_TIMEOUT_RESPONSE: &[u8] =
@@ -92,7 +86,7 @@
     Serving,
     /// New clients are still accepted; each response closes its connection.
     Leaving,
-    /// Idle connections are closed. New clients are still served.
+    /// Connections on which no request has begun are closed. New clients are still served.
     Closing,
     /// The time for the shutdown is up: requests are refused.
     Ended,
@@ -240,7 +234,7 @@
                 return ConnectionEnd::ClosedByGateway(reason);
             }
             CloseReason::PartialRequest => {
-                // The rest of the request may arrive just now, so it gets a response and not only a close.
+                // The rest of the request may arrive at this moment, so the client gets a response, not only a close.
                 tracked.set_stage(Stage::Last);
                 let mut stream = serving.into_parts().io.into_inner();
                 let written = timeout(FINAL_WRITE_TIMEOUT, stream.write_all(REQUEST_TIMEOUT_RESPONSE)).await;
