--- a/src/bin/brassport/client_stream.rs
+++ b/src/bin/brassport/client_stream.rs
@@ -16,17 +16,15 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt, ReadBuf};
 use tokio::time::{sleep, timeout, Instant};
 
-/// Limit, in bytes, of what is read ahead of the server. Higher costs memory on each connection; with more than
-/// this pipelined, the end of the connection is found only by polling.
+/// Limit, in bytes, of what is read ahead of the server. If more than this is pipelined, the end of the connection is
+/// found only by polling.
 const READ_AHEAD_LIMIT: usize = 16 * 1024;
-/// Capacity, in bytes, that an empty read-ahead buffer keeps. Higher costs memory on each of up to a thousand
-/// connections; lower costs an allocation for each request.
+/// Capacity, in bytes, that an empty read-ahead buffer keeps. It is small because there may be a thousand connections.
 const EMPTY_BUFFER_CAPACITY: usize = 1024;
-/// Interval between checks for the end of a connection whose read-ahead buffer is full. Longer keeps requests of
-/// clients that have left running; shorter costs processor time.
+/// Interval between checks for the end of a connection whose read-ahead buffer is full.
 const END_OF_STREAM_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// How long input is still read and discarded after the last response, so that the client can receive it. A client
-/// that sends for longer may lose that response to a connection reset; a higher value holds descriptors longer.
+/// How long input is still read and discarded after the last response. A client that sends for longer may lose that
+/// response to a connection reset.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(2000);
 
 /// Finds the empty line that ends a request head, in input of any fragmentation.
@@ -408,8 +406,8 @@
         assert_eq!(read().await.as_deref(), Some(&b""[..]), "end of stream");
     }
 
-    // `has_left`, called while the server waits for the next head, may read that head from the socket. The runtime does
-    // not wake the server for it: before `has_left` did, such a request was never answered (soak, hard seed 60002).
+    // `has_left`, called while the server waits for the next head, may read that head from the socket. The runtime then
+    // no longer wakes the server, so `has_left` has to: otherwise the request is never answered (soak, hard seed 60002).
     #[tokio::test]
     async fn request_read_ahead_while_the_server_waits_wakes_the_server() {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
