--- a/src/bin/brassport/client_connections.rs
+++ b/src/bin/brassport/client_connections.rs
@@ -8,16 +8,13 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// How long a whole request may take to arrive, from the start of the connection or from its first byte. A client
-/// whose request has not arrived must be closed within 3 s, so higher leaves too little time for that; lower cuts off
-/// slow clients.
+/// How long a whole request may take to arrive, from the start of the connection or from its own first byte. The
+/// connection of a client that has not sent its request must end within 3 s.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
-/// How much of the request time-out the wait to be accepted may use up at most. The rest remains to read what arrived
-/// during that wait, so this must stay below the time-out. If it is too low, a connection that had to wait is closed
-/// later than those 3 s.
+/// How much of the request time-out the wait to be accepted may use up. The rest remains to read what arrived during
+/// that wait.
 const MAX_QUEUE_WAIT: Duration = Duration::from_millis(2000);
-/// How long a connection may be idle after a response. Shorter makes clients reconnect more often; longer keeps
-/// descriptors for clients that do not come back.
+/// How long a connection may be idle after a response.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// The same when there are many connections. When descriptors run out, connections that were idle for this long are
 /// closed before other idle ones.
@@ -25,9 +22,8 @@
 /// An idle connection is not closed sooner than this, except at a shutdown: its client may not have received all of
 /// the response yet. With many connections it is the time-out of one with a single request.
 const MIN_IDLE: Duration = Duration::from_millis(300);
-/// A client that has sent nothing for this long on a new connection is not expected to send a request soon, so the
-/// connection may be closed at a shutdown or when descriptors run out. Shorter closes connections whose first request
-/// is on its way; longer holds descriptors and delays the shutdown.
+/// A client that has sent nothing for this long on a new connection is not expected to send a request soon. The
+/// connection is then closed at a shutdown, and is among the first to be closed when descriptors run out.
 const SILENT_AFTER: Duration = Duration::from_millis(100);
 
 /// The stage that a connection is in.
@@ -154,12 +150,13 @@
         chosen.is_some()
     }
 
-    /// Closes the connections whose time-outs have expired. With more than `many_threshold` connections idle ones have
-    /// shorter time-outs, and at a shutdown (`closing`) unused ones have next to none.
+    /// Closes the connections whose time-outs have expired. With more than `many_threshold` connections, idle ones have
+    /// shorter time-outs. At a shutdown (`closing`) idle ones are closed at once, and new ones once they are silent.
     ///
-    /// A proxy in front of this gateway may allow only a limited number of connections. Many clients that send one
-    /// request and stay, open a new connection for each request or close late would use them all up long before
-    /// descriptors run out here. The cost is that a client with rare requests has to reconnect when there are many.
+    /// A proxy in front of this gateway may allow only a limited number of connections. Clients that stay connected
+    /// after a single request, open a new connection for each request, or close late could use up that number long
+    /// before descriptors run out here, and keep other clients out. The cost: with many connections, a client that
+    /// rarely sends requests has to reconnect.
     pub fn sweep(&self, many_threshold: usize, closing: bool) {
         let all = self.by_number.borrow();
         let many_connections = all.len() > many_threshold;
@@ -198,8 +195,8 @@
     pub fn request_deadline(&self) -> Instant {
         self.state.since.get() + REQUEST_TIMEOUT
     }
-    /// Waits until the connection has to close, and returns what it was doing. If part of a request has arrived, read
-    /// or not, an unused connection stays open; that is checked with a system call.
+    /// Waits until the connection has to close, and returns what it was doing. An unused connection stays open if part
+    /// of a request has arrived meanwhile, even if it is still unread; a system call checks that.
     pub async fn close_requested(&self, connection: &Connection) -> CloseReason {
         loop {
             self.state.close_requested.notified().await;
