--- a/src/bin/brassport/acceptor.rs
+++ b/src/bin/brassport/acceptor.rs
@@ -12,19 +12,18 @@
 use tokio::task::yield_now;
 use tokio::time::{sleep, Instant};
 
-/// Consecutive failures after which the next accept still follows at once, as every waiting connection loses time. More
-/// of them would keep the processor busy with accepts that fail; fewer would delay connections for a brief fault.
+/// Consecutive failures that are treated as momentary: the next accept follows at once, as a pause delays every waiting
+/// connection.
 const IMMEDIATE_RETRIES: u32 = 8;
-/// The first and the longest pause after more failures, which mean that the system lacks a resource. Pauses that are
-/// too short keep the processor busy with accepts that fail; too long ones delay all waiting connections.
+/// The first and the longest pause after more failures, which mean that the system lacks a resource.
 const FIRST_BACK_OFF: Duration = Duration::from_millis(1);
 const MAX_BACK_OFF: Duration = Duration::from_millis(16);
 
 /// Connections that may wait to be accepted; the kernel reduces this to `net.core.somaxconn`.
 const LISTEN_BACKLOG: u32 = i32::MAX.unsigned_abs();
 
-/// Listens on an address with the longest queue that the kernel allows. When the queue is full a client connects a
-/// second late, or takes itself for connected and gets no response for as long.
+/// Listens on an address with the longest queue that the kernel allows. When the queue is full, a client connects a
+/// second late, or its connect succeeds on its side and its request is not received for that second.
 ///
 /// # Errors
 /// The error of the system call that failed.
@@ -120,7 +119,7 @@
     }
 }
 
-/// The pause after so many consecutive failures; `None` to retry at once.
+/// The pause after this number of consecutive failures; `None` to retry at once.
 fn back_off(failures: u32) -> Option<Duration> {
     let doublings = failures.checked_sub(IMMEDIATE_RETRIES + 1)?;
     Some((FIRST_BACK_OFF * 2u32.saturating_pow(doublings.min(16))).min(MAX_BACK_OFF))
