--- a/src/bin/brassport/main.rs
+++ b/src/bin/brassport/main.rs
@@ -40,16 +40,14 @@
 use tokio::time::{sleep, timeout};
 
 /// How long a start waits for the agent's first answer before it serves clients. An agent that is up answers at once;
-/// without its answer the cached list is used, which may be stale. A longer time-out delays clients while the agent is
-/// down.
+/// without its answer the cached list is used, which may be stale.
 const FIRST_UPDATE_TIMEOUT: Duration = Duration::from_millis(250);
 /// The bodies of all requests together may take the memory limit divided by this.
 const BODY_MEMORY_DIVISOR: usize = 8;
-/// How long the listener stays open at least after SIGTERM: clients still connect for up to 0.4 s, and would be refused
-/// after a shorter time.
+/// How long the listener stays open at least after SIGTERM, as clients still connect for up to 0.4 s.
 const LEAVING_TIME: Duration = Duration::from_millis(600);
-/// Upper limit of the time that open requests then have before they fail: no client waits longer than 3 s. SIGKILL comes
-/// 0.7 s after the longest wait, and `LEAVING_TIME` and this together have to end before it.
+/// Upper limit of the time that open requests have after `LEAVING_TIME` before they fail: no client waits longer than
+/// 3 s. SIGKILL comes 0.7 s after the longest wait, and `LEAVING_TIME` and this together have to end before it.
 const MAX_CLOSING_TIME: Duration = Duration::from_millis(3000);
 /// The part of the closing time kept for writing error answers to requests that did not finish.
 const FINAL_ANSWERS_TIME: Duration = Duration::from_millis(100);
