--- a/src/bin/brassport/startup.rs
+++ b/src/bin/brassport/startup.rs
@@ -13,7 +13,7 @@
 use tokio::time::{timeout, Instant};
 
 /// File descriptors kept for everything but connections of clients and servers: standard streams, event queue, listener,
-/// discovery. With fewer of them, those could fail to open once clients and servers use up the rest.
+/// discovery.
 const RESERVED_DESCRIPTORS: usize = 32;
 /// How long the start retries operations that fail temporarily. The gateway has to be ready within 30 s of its start.
 pub const START_TIMEOUT: Duration = Duration::from_secs(20);
