--- a/src/bin/brassport/config.rs
+++ b/src/bin/brassport/config.rs
@@ -28,7 +28,7 @@
     pub seed: u64,
     pub max_sockets: usize,
     pub memory_bytes: usize,
-    /// The list of servers as last stored; possibly stale.
+    /// The list of servers in the file, which may be stale.
     pub cached_list: List,
     pub names: Names,
     pub settings: Settings,
