--- a/src/bin/brassport/log.rs
+++ b/src/bin/brassport/log.rs
@@ -12,14 +12,12 @@
 
 /// The environment variable that turns the trace on.
 const TRACE_VARIABLE: &str = "BALANCER_TRACE";
-/// Maximum number of lines in the queue of the writer thread, without and with the trace. A shorter queue drops lines in
-/// a burst, a longer one takes more memory while the reader is slow.
+/// Maximum number of lines in the queue of the writer thread, without and with the trace.
 const QUEUE_LINES: usize = 32;
 const TRACE_QUEUE_LINES: usize = 65_536;
 /// Maximum number of lines written per second without the trace; more are dropped.
 const MAX_LINES_PER_SECOND: u32 = 20;
-/// How long the exit of the process waits for the last line to be written. A longer time-out delays the exit while the
-/// reader is slow, a shorter one may lose the line.
+/// How long the exit of the process waits for the last line to be written.
 const LAST_LINE_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// An entry in the queue of the writer thread.
