--- a/tests/gateway_process/clients.rs
+++ b/tests/gateway_process/clients.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn no_request_is_sent_for_a_client_that_left_while_the_server_connected() {
+fn no_request_is_sent_for_a_client_that_left_while_the_gateway_connected_to_the_server() {
     let backend = FullBacklogPeer::start();
     let mut config = config(closed_port(), list(&[target("s-00000001", backend.address, "ready")]));
     config["settings"]["bounds"]["connectTimeout"] = json!(30_000.0);
@@ -135,8 +135,8 @@
     assert_eq!(client.read().body, b"for the client that stayed");
 }
 
-/// Clients that connect at once. Above `net.core.somaxconn` the kernel's queue does not hold them; up to 128 the fault
-/// below would not be noticed.
+/// Clients that connect at once. The kernel's queue holds them up to `net.core.somaxconn`; the fault described below
+/// appears above 128.
 const CONCURRENT_CLIENTS: usize = 300;
 
 // The listening socket's queue held 128 connections. Any more clients that came while the gateway did not run connected
@@ -161,7 +161,7 @@
     thread::sleep(Duration::from_millis(500).saturating_sub(began.elapsed()));
     gateway.signal("-CONT");
     for client in &mut clients {
-        // One server does not have the capacity for all of them at once.
+        // One server does not have the capacity for all of them at once, so some are refused.
         assert!([200, 429].contains(&client.read().status()));
     }
     assert!(began.elapsed() < Duration::from_millis(3000), "answered after {:?}", began.elapsed());
