--- a/tests/gateway_process/counter.rs
+++ b/tests/gateway_process/counter.rs
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn requests_are_served_while_the_counter_is_unreachable() {
+fn requests_are_served_without_a_reachable_or_valid_counter_address() {
     let backend = Peer::start();
     for counter_address in [json!(closed_port().to_string()), json!("nowhere"), Value::Null] {
         let mut config = config(closed_port(), list(&[target("s-00000001", backend.address, "ready")]));
