--- a/tests/gateway_process/quota.rs
+++ b/tests/gateway_process/quota.rs
@@ -95,14 +95,14 @@
 }
 
 #[test]
-fn a_customer_that_sends_through_one_gateway_only_has_its_whole_burst_there() {
+fn a_customer_that_sends_through_one_gateway_only_has_its_burst_there() {
     let backend = Peer::start();
     let targets: Vec<Value> =
         (1..=4).map(|n| target(&format!("s-0000000{n}"), backend.address, "ready")).collect();
     let mut config = config(closed_port(), list(&targets));
     config["settings"]["balancers"] = json!(4);
-    // The probability of refusals is updated once per meter period: with 60 s, not during this
-    // test, however slow the machine.
+    // The probability of refusals is updated once per meter period: with 60 s, not during this test, however slow the
+    // machine.
     config["settings"]["familyInfo"]["usePeriod"] = json!(60_000.0);
     config["settings"]["plans"][0]["unitsPerS"] = json!(1.0);
     config["settings"]["plans"][0]["storeSize"] = json!(40.0);
