--- a/tests/gateway_process/discovery.rs
+++ b/tests/gateway_process/discovery.rs
@@ -291,8 +291,7 @@
 // still being written it has to call the agent already, which may be unresponsive once the file is complete (soak, wide
 // seed 9101).
 #[test]
-fn a_drain_received_while_the_configuration_file_is_incomplete_is_obeyed_after_the_agent_becomes_unresponsive(
-) {
+fn a_drain_received_while_the_configuration_file_is_incomplete_is_obeyed_though_the_agent_stops_answering() {
     let (backend, agent) = (Peer::start(), Peer::start());
     let known = list(&[target("s-00000001", backend.address, "ready")]);
     let mut config = config(agent.address, known.clone());
@@ -351,10 +350,10 @@
     assert_eq!(sent.load(Ordering::Relaxed), 0, "requests were sent to a draining server");
 }
 
-// A watch has ended and the next one is not open yet, as the process is stopped for 0.14 s just then. Meanwhile the agent
-// receives that a server drains, and becomes unresponsive. The gateway counts as notified of that, whether or not a watch
-// is open, but went on sending to the server until the agent answered again (soak, wide seed 40027: a send 2300 ms after
-// the change, with a drain grace of 985 ms; the agent was unresponsive 13 ms after it had the change).
+// The process is stopped for 0.14 s after a watch has ended and before the next one is open. Meanwhile the agent learns
+// that a server drains, and becomes unresponsive. The gateway counts as notified of that, whether or not a watch is
+// open, but went on sending to the server until the agent answered again (soak, wide seed 40027: a send 2300 ms after
+// the change, with a drain grace of 985 ms; the agent was unresponsive from 13 ms after the change on).
 #[test]
 fn a_drain_that_the_agent_receives_between_two_watches_is_obeyed_though_it_becomes_unresponsive() {
     let (backend, agent) = (Peer::start(), Peer::start());
