--- a/tests/gateway_process/peers.rs
+++ b/tests/gateway_process/peers.rs
@@ -314,7 +314,7 @@
     })
 }
 
-/// The same with a plan whose concurrency limit of 2 two gateways share through a counter.
+/// Like [`config`], with a plan whose concurrency limit of 2 is shared by two gateways through a counter.
 pub fn capped_config(backend: SocketAddr, counter: SocketAddr) -> Value {
     let mut config = config(closed_port(), list(&[target("s-00000001", backend, "ready")]));
     config["counter"] = json!(counter.to_string());
@@ -388,7 +388,7 @@
     assert!(status.expect("kill runs").success());
 }
 
-/// The exit status of a process that exits within `time_limit`; otherwise the process is killed, and `None`.
+/// Returns the exit status of a process that exits within `time_limit`; otherwise kills it and returns `None`.
 pub fn wait_for_exit(child: &mut Child, time_limit: Duration) -> Option<ExitStatus> {
     let until = Instant::now() + time_limit;
     while Instant::now() < until {
@@ -504,7 +504,7 @@
     }
 }
 
-/// Answers every request that reaches the peer at once. Returns their count, which goes on growing.
+/// Answers every request that reaches the peer at once, on a separate thread. Returns the counter of these requests.
 pub fn answer_all(peer: Peer) -> Arc<AtomicU32> {
     let count = Arc::new(AtomicU32::new(0));
     let counted = count.clone();
