--- a/tests/gateway_process/process.rs
+++ b/tests/gateway_process/process.rs
@@ -63,8 +63,8 @@
     assert_eq!(stderr, "brassport: setting plans[0].rate: must be a finite number, not below 0\n");
 }
 
-// The thread that ends the process wrote the last line itself and had to wait for others that held standard error: the
-// process was still running 8 s after SIGTERM.
+// The exiting thread wrote the last line itself, and so had to wait for other threads that held the lock of standard
+// error: the process was still running 8 s after SIGTERM.
 #[test]
 fn unread_log_does_not_delay_the_exit() {
     for trace in ["0", "1"] {
