--- a/tests/gateway_process/reload.rs
+++ b/tests/gateway_process/reload.rs
@@ -32,15 +32,15 @@
 fn several_sighups_do_not_end_a_start_that_cannot_read_its_file_yet() {
     let backend = Peer::start();
     let config = config(closed_port(), list(&[target("s-00000001", backend.address, "ready")]));
-    let faulty = FaultInjection::new();
-    faulty.control.set(Faults { open_fails: 1.0, ..Faults::default() });
+    let faults = FaultInjection::new();
+    faults.control.set(Faults { open_fails: 1.0, ..Faults::default() });
     let file = write_config(&config);
-    let child = faulty.spawn(&file, &config);
+    let child = faults.spawn(&file, &config);
     thread::sleep(START_DELAY);
     for _ in 0..5 {
         signal(&child, "-HUP");
     }
-    faulty.control.set(Faults::default());
+    faults.control.set(Faults::default());
     let gateway = GatewayProcess::listening(child, &config, file);
     gateway.serves_from(&backend);
 }
@@ -50,9 +50,9 @@
 fn sigterm_ends_a_start_that_cannot_read_its_file_yet_at_once_with_exit_code_0() {
     for signals in [&["-TERM"][..], &["-HUP", "-TERM", "-HUP", "-TERM"]] {
         let config = config(closed_port(), list(&[]));
-        let faulty = FaultInjection::new();
-        faulty.control.set(Faults { open_fails: 1.0, ..Faults::default() });
-        let mut child = faulty.spawn(&write_config(&config), &config);
+        let faults = FaultInjection::new();
+        faults.control.set(Faults { open_fails: 1.0, ..Faults::default() });
+        let mut child = faults.spawn(&write_config(&config), &config);
         thread::sleep(START_DELAY);
         for name in signals {
             signal(&child, name);
@@ -99,16 +99,16 @@
 fn a_file_replaced_after_it_was_read_at_the_start_is_applied() {
     let (first, second) = (Peer::start(), Peer::start());
     let mut config = config(first.address, list(&[]));
-    let faulty = FaultInjection::new();
+    let faults = FaultInjection::new();
     // The file has been read, and the port cannot be bound yet.
-    faulty.control.set(Faults { socket_fails: 1.0, ..Faults::default() });
+    faults.control.set(Faults { socket_fails: 1.0, ..Faults::default() });
     let file = write_config(&config);
-    let child = faulty.spawn(&file, &config);
+    let child = faults.spawn(&file, &config);
     thread::sleep(START_DELAY);
     config["discovery"] = json!(second.address.to_string());
     std::fs::write(&file, config.to_string()).expect("the file is replaced");
     signal(&child, "-HUP");
-    faulty.control.set(Faults::default());
+    faults.control.set(Faults::default());
     let _gateway = GatewayProcess::listening(child, &config, file);
     second.next();
 }
