--- a/tests/gateway_process/system_calls.rs
+++ b/tests/gateway_process/system_calls.rs
@@ -132,13 +132,13 @@
 
 // Regression test: while connects failed on its own machine, a new gateway paused between calls to its discovery agent
 // as if the agent were failing, for up to 0.2 s in a row. In the soak (wide seed 40013), with two of three connects
-// failing, the agent learned of a drain 62 ms after the start and stopped answering 95 ms later. A gateway is expected
-// to have what its agent has learned, but this one sent requests to the draining server for 2 s more.
+// failing, the agent learned of a drain 62 ms after the start and stopped answering 95 ms later. The gateway counts as
+// notified of every change that its agent has, but it sent requests to the draining server for 2 s more.
 #[test]
 fn discovery_is_called_again_soon_after_connects_failed_on_the_gateways_machine() {
     let agent = Peer::start();
     let mut config = config(agent.address, list(&[]));
-    // Waits and back-offs are derived from this time; the longest back-off is a fifth of it.
+    // Waits and back-offs are fractions of this time, up to 1 s each; the longest back-off is a fifth of it.
     config["settings"]["rules"]["stopSendingWithin"] = json!(10_000.0);
     let faults = FaultInjection::new();
     let _gateway = faults.start(&config);
