--- a/src/bin/brassport/guard.rs
+++ b/src/bin/brassport/guard.rs
@@ -1,4 +1,5 @@
-//! Checks made right before an attempt is sent or a request or the process ends, and the counts of what they found.
+//! Checks made right before an attempt is sent, and at the end of a request or of the process. What they find is
+//! counted.
 //!
 //! An attempt that must not begin is stopped. That is normal: the request may be answered, or its server removed,
 //! while a connection is being established. A violation is a broken rule that the rest of the program has to
