--- a/src/bin/brassport/discovery/list.rs
+++ b/src/bin/brassport/discovery/list.rs
@@ -29,7 +29,8 @@
     pub endpoint: String,
     #[serde(default)]
     pub az: String,
-    /// An identifier only. It is read as u64 so that an out-of-range value does not make the whole list invalid.
+    /// An identifier only. It is read as u64, although the decision module uses u16, so that a value that is too large
+    /// does not make the whole list invalid.
     #[serde(default)]
     pub pod_group: u64,
     pub state: State,
