--- a/src/bin/brassport/config.rs
+++ b/src/bin/brassport/config.rs
@@ -79,7 +79,9 @@
 #[derive(Deserialize, PartialEq)]
 #[serde(rename_all = "snake_case")]
 enum RegistryMode {
+    /// A local agent of this gateway has the list of servers.
     Pushed,
+    /// One service, shared by all gateways, has the list.
     OnRequest,
 }
 
