--- a/src/bin/brassport/config.rs
+++ b/src/bin/brassport/config.rs
@@ -28,7 +28,7 @@
     pub seed: u64,
     pub max_sockets: usize,
     pub memory_bytes: usize,
-    /// The list of servers as last stored; possibly stale.
+    /// The list of servers in the file, which may be stale.
     pub cached_list: List,
     pub names: NameTables,
     pub settings: Settings,
@@ -79,7 +79,9 @@
 #[derive(Deserialize, PartialEq)]
 #[serde(rename_all = "snake_case")]
 enum RegistryMode {
+    /// A local agent of this gateway has the list of servers.
     Pushed,
+    /// One service, shared by all gateways, has the list.
     OnRequest,
 }
 
